--- a/balancer/src/main/java/baymoor/assembly/Assembly.java
+++ b/balancer/src/main/java/baymoor/assembly/Assembly.java
@@ -162,7 +162,7 @@
             ready();
         });
         discovery.whenUnwatched(exchange::seek);
-        dispatcher.beginOnlyWhile(() -> confirmation.current(time.now()));
+        dispatcher.setListFreshnessCheck(() -> confirmation.current(time.now()));
         dispatcher.connect(north, south, discovery, peers);
     }
 
--- a/balancer/src/main/java/baymoor/dispatch/Dispatcher.java
+++ b/balancer/src/main/java/baymoor/dispatch/Dispatcher.java
@@ -48,17 +48,17 @@
 public final class Dispatcher implements RequestHandler, South.Listener, Decisions.Sink {
 
     /** Where the decisions fail on a timer, it comes again after this long, or their clockwork would stand still. */
-    private static final long TIMER_AGAIN_MICROS = 50_000;
+    private static final long TIMER_RETRY_MICROS = 50_000;
 
     /** A request that the decisions know of, or one of whose attempts is still out. */
     private static final class OpenRequest {
         final long ticket;
         final ClientRequest request;
-        int attempts;
-        int out;
+        int attemptCount;
+        int attemptsInFlight;
         boolean done;
         /** When the first attempt that may have run was ordered. */
-        long ranMicros = Long.MAX_VALUE;
+        long firstPossibleRunMicros = Long.MAX_VALUE;
 
         OpenRequest(long ticket, ClientRequest request) {
             this.ticket = ticket;
@@ -68,55 +68,55 @@
 
     private final Decisions decisions;
     private final Decisions.Limits limits;
-    private final Map<String, RequestClass> classes = new HashMap<>();
+    private final Map<String, RequestClass> classesByName = new HashMap<>();
     private final Time time;
     private final Counters counters;
     private final Consumer<String> log;
     private final Map<String, OpenRequest> requests = new HashMap<>();
-    private final Set<String> ids = new HashSet<>();
-    private final Set<Long> timersSet = new HashSet<>();
+    private final Set<String> openClientIds = new HashSet<>();
+    private final Set<Long> timersSetByEvent = new HashSet<>();
     private North north;
     private South south;
     private Discovery discovery;
     private Peers peers;
     /** Whether the list held may still be used. */
-    private BooleanSupplier listCurrent = () -> true;
+    private BooleanSupplier listFresh = () -> true;
 
     public Dispatcher(
             Decisions decisions,
             Decisions.Limits limits,
-            List<RequestClass> kinds,
+            List<RequestClass> requestClasses,
             Time time,
             Counters counters,
             Consumer<String> log) {
         this.decisions = decisions;
         this.limits = limits;
-        kinds.forEach(kind -> classes.put(kind.name(), kind));
+        requestClasses.forEach(requestClass -> classesByName.put(requestClass.name(), requestClass));
         this.time = time;
         this.counters = counters;
         this.log = log;
     }
 
     /** Names the parts that carry the actions out; they hear of this object before it can know of them. */
-    public void connect(North clients, South hosts, Discovery inventory, Peers others) {
-        north = clients;
-        south = hosts;
-        discovery = inventory;
-        peers = others;
+    public void connect(North north, South south, Discovery discovery, Peers peers) {
+        this.north = north;
+        this.south = south;
+        this.discovery = discovery;
+        this.peers = peers;
     }
 
     /** Attempts begin only while this holds; requests are turned away at once meanwhile. */
-    public void beginOnlyWhile(BooleanSupplier condition) {
-        listCurrent = condition;
+    public void setListFreshnessCheck(BooleanSupplier listFresh) {
+        this.listFresh = listFresh;
     }
 
     @Override
     public void taken(long ticket, ClientRequest request) {
         String id = Long.toString(ticket);
         requests.put(id, new OpenRequest(ticket, request));
-        ids.add(request.id());
-        if (!listCurrent.getAsBoolean()) {
-            end(id, new Answer.BackOff(0));
+        openClientIds.add(request.id());
+        if (!listFresh.getAsBoolean()) {
+            answerRequest(id, new Answer.BackOff(0));
             return;
         }
         deliver(new Request(
@@ -150,45 +150,46 @@
 
     @Override
     public boolean open(String id) {
-        return ids.contains(id);
+        return openClientIds.contains(id);
     }
 
     @Override
     public void gone(long ticket) {
         OpenRequest open = requests.get(Long.toString(ticket));
         if (open != null && !open.done) {
-            for (int attempt = 0; attempt < open.attempts; attempt++) {
+            for (int attempt = 0; attempt < open.attemptCount; attempt++) {
                 south.withdraw(Long.toString(ticket), attempt);
             }
-            finish(open);
+            markDone(open);
             deliver(new RequestGone(Long.toString(ticket)));
         }
     }
 
-    private void finish(OpenRequest open) {
+    private void markDone(OpenRequest open) {
         open.done = true;
-        if (open.out == 0) {
+        if (open.attemptsInFlight == 0) {
             requests.remove(Long.toString(open.ticket));
-            ids.remove(open.request.id());
+            openClientIds.remove(open.request.id());
         }
     }
 
     @Override
     public void attemptEnded(String request, int attempt, long host, Reply reply, long latencyMicros) {
         OpenRequest open = requests.get(request);
-        if (!Invariant.check(open != null && open.out > 0, "an attempt ends once, before its request is forgotten")) {
+        if (!Invariant.check(
+                open != null && open.attemptsInFlight > 0, "an attempt ends once, before its request is forgotten")) {
             return;
         }
-        open.out--;
+        open.attemptsInFlight--;
         if (!reply.outcome().provesNothingRan()) {
-            open.ranMicros = Math.min(open.ranMicros, time.now() - latencyMicros);
+            open.firstPossibleRunMicros = Math.min(open.firstPossibleRunMicros, time.now() - latencyMicros);
         }
         if (!open.done && reply.outcome() == Outcome.SERVED) {
             north.answer(open.ticket, new Answer.Served(reply.value()));
             open.done = true;
         }
         if (open.done) {
-            finish(open);
+            markDone(open);
         }
         deliver(new AttemptEnded(
                 request, attempt, host, reply.outcome(), latencyMicros, open.done, reply.note(), reply.report()));
@@ -201,7 +202,7 @@
 
     /** The inventory has changed, or a call for it has failed. */
     public void listed(ServerList list) {
-        south.listed();
+        south.inventoryChanged();
         deliver(list);
     }
 
@@ -212,24 +213,24 @@
 
     private void deliver(Event event) {
         counters.add(Count.EVENTS);
-        timersSet.clear();
+        timersSetByEvent.clear();
         try {
             decisions.decide(time.now(), event, this);
         } catch (RuntimeException e) {
             // The balancer outlives a failure of its decisions: what the event was about is answered all the same.
             counters.add(Count.DECISION_FAILURES);
-            log.accept("decision failed on " + event.getClass().getSimpleName() + ": " + trace(e));
+            log.accept("decision failed on " + event.getClass().getSimpleName() + ": " + shortStackTrace(e));
             if (event instanceof Request r) {
-                abandon(r.id());
+                failRequest(r.id());
             } else if (event instanceof AttemptEnded a) {
-                abandon(a.request());
-            } else if (event instanceof TimerFired t && !timersSet.contains(t.token())) {
-                accept(new SetTimer(t.token(), TIMER_AGAIN_MICROS));
+                failRequest(a.request());
+            } else if (event instanceof TimerFired t && !timersSetByEvent.contains(t.token())) {
+                accept(new SetTimer(t.token(), TIMER_RETRY_MICROS));
             }
         }
     }
 
-    private static String trace(RuntimeException e) {
+    private static String shortStackTrace(RuntimeException e) {
         StringBuilder text = new StringBuilder(e.toString());
         for (int i = 0; i < Math.min(5, e.getStackTrace().length); i++) {
             text.append(" at ").append(e.getStackTrace()[i]);
@@ -237,9 +238,9 @@
         return text.toString();
     }
 
-    private void abandon(String id) {
+    private void failRequest(String id) {
         OpenRequest open = requests.get(id);
-        if (open != null && !open.done && open.out == 0) {
+        if (open != null && !open.done && open.attemptsInFlight == 0) {
             accept(new Fail(id));
             time.after(0, () -> deliver(new RequestGone(id)));
         }
@@ -250,12 +251,12 @@
         if (action instanceof Send a) {
             send(a);
         } else if (action instanceof SetTimer a) {
-            timersSet.add(a.token());
+            timersSetByEvent.add(a.token());
             time.after(Math.max(0, a.delayMicros()), () -> deliver(new TimerFired(a.token())));
         } else if (action instanceof Refuse a) {
-            end(a.request(), new Answer.BackOff(Math.max(0, a.retryAfterMicros())));
+            answerRequest(a.request(), new Answer.BackOff(Math.max(0, a.retryAfterMicros())));
         } else if (action instanceof Fail a) {
-            end(a.request(), new Answer.Failed());
+            answerRequest(a.request(), new Answer.Failed());
         } else if (action instanceof Cancel a) {
             south.cancel(a.request(), a.attempt());
         } else if (action instanceof TellPeer a) {
@@ -273,61 +274,68 @@
         }
     }
 
-    private void send(Send a) {
-        OpenRequest open = requests.get(a.request());
+    private void send(Send action) {
+        OpenRequest open = requests.get(action.request());
         if (open == null) {
             counters.add(Count.ACTIONS_IGNORED);
             return;
         }
         long now = time.now();
-        boolean alone = limits.secondCopies()
-                || Invariant.check(open.out == 0, "no two attempts of one request are out together");
-        int attempt = open.attempts++;
-        open.out++;
-        if (open.out == 1 && !open.done && !listCurrent.getAsBoolean()) {
+        boolean concurrencyAllowed = limits.secondCopies()
+                || Invariant.check(open.attemptsInFlight == 0, "no two attempts of one request are out together");
+        int attempt = open.attemptCount++;
+        open.attemptsInFlight++;
+        if (open.attemptsInFlight == 1 && !open.done && !listFresh.getAsBoolean()) {
             // Answered now: each further attempt would be turned away like this one.
-            end(a.request(), open.ranMicros == Long.MAX_VALUE ? new Answer.BackOff(0) : new Answer.Failed());
+            answerRequest(
+                    action.request(),
+                    open.firstPossibleRunMicros == Long.MAX_VALUE ? new Answer.BackOff(0) : new Answer.Failed());
         }
-        if (open.done || !alone || attempt >= limits.maxAttempts() || now >= open.request.deadlineMicros()) {
-            Reply unsent = new Reply(Outcome.NOT_SENT, null, 0, new double[0], false);
-            time.after(0, () -> attemptEnded(a.request(), attempt, a.server(), unsent, 0));
+        if (open.done
+                || !concurrencyAllowed
+                || attempt >= limits.maxAttempts()
+                || now >= open.request.deadlineMicros()) {
+            Reply notSent = new Reply(Outcome.NOT_SENT, null, 0, new double[0], false);
+            time.after(0, () -> attemptEnded(action.request(), attempt, action.server(), notSent, 0));
             return;
         }
-        long most = open.request.deadlineMicros() - now;
-        long wait = a.timeoutMicros() == 0 ? most : Math.max(0, Math.min(most, a.timeoutMicros()));
+        long remainingMicros = open.request.deadlineMicros() - now;
+        long timeoutMicros = action.timeoutMicros() == 0
+                ? remainingMicros
+                : Math.max(0, Math.min(remainingMicros, action.timeoutMicros()));
         ClientRequest request = open.request;
         south.send(
-                a.request(),
+                action.request(),
                 attempt,
-                a.server(),
+                action.server(),
                 new RequestContent(request.key(), request.id(), request.facts(), request.value()),
-                now + wait,
-                () -> mayBegin(open));
+                now + timeoutMicros,
+                () -> mayStart(open));
     }
 
     /**
      * Whether an attempt may still begin, asked as its bytes are about to leave. Danger: between the order and that moment,
      * while it waits for a connection, its client may leave, or the time end for which a repeat does no harm.
      */
-    private boolean mayBegin(OpenRequest open) {
-        RequestClass kind = classes.get(open.request.requestClass());
-        boolean ran = open.ranMicros != Long.MAX_VALUE;
-        boolean harmless = !ran
-                || kind != null
-                        && switch (kind.effect()) {
+    private boolean mayStart(OpenRequest open) {
+        RequestClass requestClass = classesByName.get(open.request.requestClass());
+        boolean mayHaveRun = open.firstPossibleRunMicros != Long.MAX_VALUE;
+        boolean repeatAllowed = !mayHaveRun
+                || requestClass != null
+                        && switch (requestClass.effect()) {
                             case SAFE -> true;
-                            case KEYED -> time.now() < open.ranMicros + kind.windowMicros();
+                            case KEYED -> time.now() < open.firstPossibleRunMicros + requestClass.windowMicros();
                             case UNSAFE -> false;
                         };
-        return harmless && !open.done && north.waits(open.ticket) && listCurrent.getAsBoolean();
+        return repeatAllowed && !open.done && north.waits(open.ticket) && listFresh.getAsBoolean();
     }
 
-    private void end(String id, Answer answer) {
+    private void answerRequest(String id, Answer answer) {
         OpenRequest open = requests.get(id);
         if (open == null || open.done || !north.answer(open.ticket, answer)) {
             counters.add(Count.ACTIONS_IGNORED);
             return;
         }
-        finish(open);
+        markDone(open);
     }
 }
--- a/balancer/src/main/java/baymoor/south/South.java
+++ b/balancer/src/main/java/baymoor/south/South.java
@@ -152,7 +152,7 @@
     }
 
     /** The inventory has changed: closes idle connections to hosts that take no new requests. */
-    public void listed() {
+    public void inventoryChanged() {
         for (Host host : hosts.values()) {
             if (!runs(host)) {
                 host.closeIdle();
@@ -286,7 +286,7 @@
 
     private void sweep() {
         time.after(SWEEP_MICROS, this::sweep);
-        listed();
+        inventoryChanged();
         hosts.values().removeIf(h -> !runs(h) && h.connectionCount == 0 && h.waiting.isEmpty());
         hostsWithWaiting.removeIf(h -> h.waiting.isEmpty()); // their attempts have timed out
         for (Host host : hosts.values()) {
--- a/balancer/src/test/java/baymoor/dispatch/DispatcherTest.java
+++ b/balancer/src/test/java/baymoor/dispatch/DispatcherTest.java
@@ -40,36 +40,36 @@
 
     private final ManualTime time = new ManualTime();
     private final Counters counters = new Counters();
-    private final List<Event> heard = new ArrayList<>();
+    private final List<Event> delivered = new ArrayList<>();
     private final List<FakeLink> links = new ArrayList<>();
     private final FakeLink client = new FakeLink();
     private final Dispatcher dispatcher;
-    private final North clients;
+    private final North north;
 
     /** What the decisions would order on hearing an event. */
-    private interface Orders {
-        void on(Event event, Sink sink);
+    private interface DecisionStub {
+        void decide(Event event, Sink sink);
     }
 
-    private Orders orders = (event, sink) -> {};
+    private DecisionStub stub = (event, sink) -> {};
 
     public DispatcherTest() {
         Limits limits = new Limits(2, 0, false, true, true, true, true, 0, 250_000, 30_000_000, 32, 0, 0);
         Decisions decisions = (now, event, sink) -> {
-            heard.add(event);
-            orders.on(event, sink);
+            delivered.add(event);
+            stub.decide(event, sink);
         };
         dispatcher = new Dispatcher(
                 decisions,
                 limits,
                 List.of(
-                        kind("read", Effect.SAFE, 0),
-                        kind("keyed", Effect.KEYED, 200_000),
-                        kind("once", Effect.UNSAFE, 0)),
+                        requestClass("read", Effect.SAFE, 0),
+                        requestClass("keyed", Effect.KEYED, 200_000),
+                        requestClass("once", Effect.UNSAFE, 0)),
                 time,
                 counters,
                 line -> {});
-        clients = new North(time, counters, Set.of("read", "keyed", "once"), dispatcher, 9, 9, 1 << 20, () -> "");
+        north = new North(time, counters, Set.of("read", "keyed", "once"), dispatcher, 9, 9, 1 << 20, () -> "");
         South south = new South(
                 (to, events) -> {
                     FakeLink link = new FakeLink();
@@ -88,17 +88,17 @@
                 9,
                 dispatcher);
         dispatcher.connect(
-                clients, south, null, new Peers(List.of(), null, null, (to, bytes) -> {}, counters, dispatcher::heard));
-        client.events = clients.client(client);
+                north, south, null, new Peers(List.of(), null, null, (to, bytes) -> {}, counters, dispatcher::heard));
+        client.events = north.client(client);
     }
 
-    private static RequestClass kind(String name, Effect effect, long windowMicros) {
+    private static RequestClass requestClass(String name, Effect effect, long windowMicros) {
         return new RequestClass(name, 500_000, 0, 900_000, effect, Group.ALL, windowMicros, 1, 0, false);
     }
 
-    private String ends() {
+    private String attemptEnds() {
         time.pass(0);
-        return heard.stream()
+        return delivered.stream()
                 .filter(e -> e instanceof AttemptEnded)
                 .map(e -> (AttemptEnded) e)
                 .map(e -> e.attempt() + " " + e.outcome() + (e.done() ? " done" : ""))
@@ -107,8 +107,8 @@
     }
 
     @Test
-    public void theFirstValueAnswersTheClientAndEndsTheRequest() {
-        orders = (event, sink) -> {
+    public void firstServedAttemptAnswersTheClientAndEndsTheRequest() {
+        stub = (event, sink) -> {
             if (event instanceof Request r) {
                 sink.accept(new Send(r.id(), 1, 0));
             }
@@ -118,17 +118,17 @@
         links.get(0).events.written();
         links.get(0).in(HIT);
         assertEquals("$1\r\nv\r\n", client.takeOut());
-        assertEquals("[0 SERVED done]", ends());
+        assertEquals("[0 SERVED done]", attemptEnds());
     }
 
     @Test
-    public void whatCannotBeSentEndsAsNotSentAfterTheEvent() {
-        orders = (event, sink) -> {
+    public void attemptThatCannotBeSentEndsAsNotSentAfterTheEvent() {
+        stub = (event, sink) -> {
             if (event instanceof Request r) {
                 sink.accept(new Send(r.id(), 9, 0));
                 assertEquals(
                         "[]",
-                        heard.stream()
+                        delivered.stream()
                                 .filter(e -> e instanceof AttemptEnded)
                                 .toList()
                                 .toString());
@@ -137,13 +137,13 @@
             }
         };
         client.in(GET);
-        assertEquals("[0 NOT_SENT, 1 NOT_SENT, 2 NOT_SENT]", ends());
+        assertEquals("[0 NOT_SENT, 1 NOT_SENT, 2 NOT_SENT]", attemptEnds());
         assertTrue(links.isEmpty());
     }
 
     @Test
-    public void aRequestIsAnsweredOnceWhateverIsOrdered() {
-        orders = (event, sink) -> {
+    public void requestIsAnsweredOnlyOnceWhateverTheActions() {
+        stub = (event, sink) -> {
             if (event instanceof Request r) {
                 sink.accept(new Refuse(r.id(), 0));
                 sink.accept(new Fail(r.id()));
@@ -157,8 +157,8 @@
     }
 
     @Test
-    public void whatWaitsForAConnectionWhenItsClientLeavesDoesNotBegin() {
-        orders = (event, sink) -> {
+    public void attemptQueuedForAConnectionIsNotSentAfterItsClientDisconnects() {
+        stub = (event, sink) -> {
             if (event instanceof Request r) {
                 sink.accept(new Send(r.id(), 1, 0));
             }
@@ -167,12 +167,12 @@
         client.events.closed();
         links.get(0).events.opened();
         assertEquals("", links.get(0).takeOut());
-        assertEquals("[0 NOT_SENT done]", ends());
+        assertEquals("[0 NOT_SENT done]", attemptEnds());
     }
 
     @Test
-    public void whatIsOrderedForAClientThatHasLeftDoesNotBeginThoughItsEndIsNotToldYet() {
-        orders = (event, sink) -> {
+    public void attemptIsNotSentWhenTheClientHasClosedButTheCloseEventIsPending() {
+        stub = (event, sink) -> {
             if (event instanceof Request r) {
                 client.over = true;
                 sink.accept(new Send(r.id(), 1, 0));
@@ -181,18 +181,18 @@
         client.in(GET);
         links.get(0).events.opened();
         assertEquals("", links.get(0).takeOut());
-        assertEquals("[0 NOT_SENT done]", ends());
+        assertEquals("[0 NOT_SENT done]", attemptEnds());
         client.in(GET.replace("i\r", "j\r"));
         assertEquals(
                 "what it sent before is not taken up",
                 1,
-                heard.stream().filter(e -> e instanceof Request).count());
+                delivered.stream().filter(e -> e instanceof Request).count());
     }
 
     /** Danger: while the client's end is queued, the decisions would use up all attempts and refuse, to nobody. */
     @Test
-    public void aClientFoundToHaveLeftIsGoneBeforeItsAttemptEndsThoughItsEndIsToldLater() {
-        orders = (event, sink) -> {
+    public void requestOfAClosedConnectionIsDoneBeforeItsAttemptEndsThoughTheCloseEventIsPending() {
+        stub = (event, sink) -> {
             if (event instanceof Request r) {
                 sink.accept(new Send(r.id(), 1, 0));
             } else if (event instanceof AttemptEnded e && !e.done()) {
@@ -204,7 +204,7 @@
         client.over = true;
         links.get(0).events.opened();
         links.get(1).events.opened();
-        assertEquals("[0 NOT_SENT done, 0 NOT_SENT done]", ends());
+        assertEquals("[0 NOT_SENT done, 0 NOT_SENT done]", attemptEnds());
         client.events.closed();
         time.pass(0);
         assertEquals("", links.get(0).takeOut() + links.get(1).takeOut() + client.takeOut());
@@ -213,7 +213,7 @@
         assertEquals(1, counters.get(Count.CLIENTS_CLOSED));
         assertEquals(
                 List.of(Request.class, Request.class, RequestGone.class, RequestGone.class),
-                heard.stream()
+                delivered.stream()
                         .filter(e -> !(e instanceof AttemptEnded))
                         .map(Object::getClass)
                         .toList());
@@ -221,8 +221,8 @@
 
     /** Danger: the repeat waits for a connection, and begins when the servers drop no second copy any more. */
     @Test
-    public void aRepeatBeginsOnlyWhileItDoesNoHarm() {
-        orders = (event, sink) -> {
+    public void repeatIsSentOnlyWhileTheEffectOfTheClassAllowsIt() {
+        stub = (event, sink) -> {
             if (event instanceof Request r) {
                 sink.accept(new Send(r.id(), 1, 0));
             } else if (event instanceof AttemptEnded e && !e.done() && e.attempt() == 0) {
@@ -246,14 +246,14 @@
             second.events.written();
             second.events.closed();
             client.events.closed();
-            client.events = clients.client(client);
+            client.events = north.client(client);
             time.pass(0);
         }
     }
 
     @Test
-    public void aFailureOfTheDecisionsIsAnsweredCountedAndOutlived() {
-        orders = (event, sink) -> {
+    public void exceptionInTheDecisionsIsAnsweredCountedAndSurvived() {
+        stub = (event, sink) -> {
             throw new IllegalStateException("a test's own");
         };
         client.in(GET);
@@ -262,26 +262,26 @@
         time.pass(200_000);
         assertTrue(
                 "the timer comes again",
-                heard.stream().filter(e -> e instanceof TimerFired).count() > 2);
+                delivered.stream().filter(e -> e instanceof TimerFired).count() > 2);
         assertTrue(counters.get(Count.DECISION_FAILURES) > 2);
     }
 
     @Test
-    public void whileTheListMayNotBeUsedARequestIsTurnedAwayAtOnce() {
-        dispatcher.beginOnlyWhile(() -> false);
+    public void requestIsRejectedAtOnceWhileTheListIsStale() {
+        dispatcher.setListFreshnessCheck(() -> false);
         client.in(GET);
         assertEquals("-BUSY\r\n", client.takeOut());
         time.pass(2_000_000);
-        assertEquals("the decisions never hear of it", List.of(), heard);
+        assertEquals("the decisions never hear of it", List.of(), delivered);
         assertEquals(1, counters.get(Count.REFUSED));
     }
 
     /** Danger: each further attempt would be turned away as well, and the client wait for nothing. */
     @Test
-    public void anAttemptThatIsOrderedWhileTheListMayNotBeUsedEndsTheRequest() {
-        boolean[] current = {true};
-        dispatcher.beginOnlyWhile(() -> current[0]);
-        orders = (event, sink) -> {
+    public void attemptOrderedWhileTheListIsStaleEndsTheRequest() {
+        boolean[] listFresh = {true};
+        dispatcher.setListFreshnessCheck(() -> listFresh[0]);
+        stub = (event, sink) -> {
             if (event instanceof Request r) {
                 sink.accept(new SetTimer(Long.parseLong(r.id()), 100_000));
             } else if (event instanceof TimerFired t) {
@@ -289,19 +289,19 @@
             }
         };
         client.in(GET);
-        current[0] = false;
+        listFresh[0] = false;
         time.pass(100_000);
         assertEquals("-BUSY\r\n", client.takeOut());
-        assertEquals("[0 NOT_SENT done]", ends());
+        assertEquals("[0 NOT_SENT done]", attemptEnds());
         assertTrue(links.isEmpty());
         assertEquals(0, counters.get(Count.ACTIONS_IGNORED));
     }
 
     @Test
-    public void whatMayHaveRunBeforeTheListBecameTooOldHasFailed() {
-        boolean[] current = {true};
-        dispatcher.beginOnlyWhile(() -> current[0]);
-        orders = (event, sink) -> {
+    public void requestThatMayHaveRunFailsOnceTheListIsStale() {
+        boolean[] listFresh = {true};
+        dispatcher.setListFreshnessCheck(() -> listFresh[0]);
+        stub = (event, sink) -> {
             if (event instanceof Request r) {
                 sink.accept(new Send(r.id(), 1, 0));
             } else if (event instanceof AttemptEnded e && !e.done()) {
@@ -311,28 +311,28 @@
         client.in(GET);
         links.get(0).events.opened();
         links.get(0).events.written();
-        current[0] = false;
+        listFresh[0] = false;
         links.get(0).events.closed();
         time.pass(0);
         String answer = client.takeOut();
         assertTrue(answer, answer.startsWith("-") && !answer.startsWith("-BUSY"));
-        assertEquals("[0 RESET, 1 NOT_SENT done]", ends());
+        assertEquals("[0 RESET, 1 NOT_SENT done]", attemptEnds());
         assertEquals(1, links.size());
     }
 
     @Test
-    public void anAttemptThatWaitedForAConnectionDoesNotBeginOnAListTooOld() {
-        boolean[] current = {true};
-        dispatcher.beginOnlyWhile(() -> current[0]);
-        orders = (event, sink) -> {
+    public void attemptQueuedForAConnectionIsNotSentOnceTheListIsStale() {
+        boolean[] listFresh = {true};
+        dispatcher.setListFreshnessCheck(() -> listFresh[0]);
+        stub = (event, sink) -> {
             if (event instanceof Request r) {
                 sink.accept(new Send(r.id(), 1, 0));
             }
         };
         client.in(GET);
-        current[0] = false;
+        listFresh[0] = false;
         links.get(0).events.opened();
         assertEquals("", links.get(0).takeOut());
-        assertEquals("[0 NOT_SENT]", ends());
+        assertEquals("[0 NOT_SENT]", attemptEnds());
     }
 }
