--- a/balancer/src/main/java/baymoor/assembly/Assembly.java
+++ b/balancer/src/main/java/baymoor/assembly/Assembly.java
@@ -47,29 +47,29 @@
      * Descriptors that are neither clients' nor hosts': 25 of listeners, selectors, peers and files of the JVM, two watches and a
      * call for the list, and what there may be of connections past the bounds while others close.
      */
-    private static final int OTHER_DESCRIPTORS = 64;
+    private static final int RESERVED_DESCRIPTORS = 64;
     /** New connections are said to keep coming for up to 0.4 s after SIGTERM. */
-    private static final long ACCEPT_ON_MICROS = 600_000;
+    private static final long DRAIN_ACCEPT_MICROS = 600_000;
     /** SIGKILL follows 0.7 s after the longest deadline, which counts as 3 s at most; a little before, all ends. */
-    private static final long LONGEST_DEADLINE_MICROS = 3_000_000;
+    private static final long MAX_DEADLINE_MICROS = 3_000_000;
 
-    private static final long END_MICROS = 500_000;
+    private static final long DRAIN_MARGIN_MICROS = 500_000;
     /** Open requests that the memory bears beside their values, whatever the settings allow. */
-    private static final int MOST_OPEN = 8192;
+    private static final int MAX_OPEN_REQUESTS = 8192;
 
-    private static final long LOOK_MICROS = 10_000;
+    private static final long DRAIN_POLL_MICROS = 10_000;
     /** An agent answers at once, unless discovery is down: then the list of the configuration is the best there is. */
-    private static final long FIRST_LIST_MICROS = 1_000_000;
+    private static final long FIRST_LIST_TIMEOUT_MICROS = 1_000_000;
     /**
      * Another balancer answers within milliseconds which hosts drain that run by the configuration's list. Where none
      * does so soon, none knows, and the list of the configuration is the best there is.
      */
-    private static final long FIRST_WORD_MICROS = 100_000;
+    private static final long FIRST_PEER_ANSWER_TIMEOUT_MICROS = 100_000;
     /**
      * For clients to take their last answer and end their side: a program that ends before resets connections on which
-     * something came in unread. Within what {@link #END_MICROS} leaves before SIGKILL.
+     * something came in unread. Within what {@link #DRAIN_MARGIN_MICROS} leaves before SIGKILL.
      */
-    private static final long PARTING_MICROS = 100_000;
+    private static final long CLIENT_CLOSE_GRACE_MICROS = 100_000;
 
     private final Settings settings;
     private final Time time;
@@ -80,86 +80,95 @@
     private final Inventory inventory;
     private final Discovery discovery;
     private final Peers peers;
-    private final ListExchange exchange;
+    private final ListExchange listExchange;
     /** Whether there are other balancers that can be asked which hosts run. */
-    private final boolean othersKnow;
+    private final boolean canAskPeers;
 
-    private Runnable toServe;
+    private Runnable startServing;
 
-    public Assembly(Settings settings, Surroundings around) {
+    public Assembly(Settings settings, Surroundings environment) {
         this.settings = settings;
-        time = around.time();
-        log = around.log();
-        counters = around.counters();
-        Decisions.Settings module = settings.module();
-        dispatcher = new Dispatcher(Decisions.start(module), module.limits(), module.classes(), time, counters, log);
-        inventory = new Inventory(around.unixMillisToMicros(), counters);
-        int half = half(settings);
+        time = environment.time();
+        log = environment.log();
+        counters = environment.counters();
+        Decisions.Settings decisionSettings = settings.module();
+        dispatcher = new Dispatcher(
+                Decisions.start(decisionSettings),
+                decisionSettings.limits(),
+                decisionSettings.classes(),
+                time,
+                counters,
+                log);
+        inventory = new Inventory(environment.unixMillisToMicros(), counters);
+        int maxConnections = maxConnectionsPerSide(settings);
         north = new North(
                 time,
                 counters,
-                module.classes().stream().map(Decisions.RequestClass::name).collect(Collectors.toSet()),
+                decisionSettings.classes().stream()
+                        .map(Decisions.RequestClass::name)
+                        .collect(Collectors.toSet()),
                 dispatcher,
-                half,
-                most(module.limits().maxOpen()),
-                around.mostValueBytes(),
+                maxConnections,
+                maxOpenRequests(decisionSettings.limits().maxOpen()),
+                environment.mostValueBytes(),
                 counters::report);
-        int kind = module.origin().kind();
-        boolean listed = module.origin().mode() == Decisions.Mode.ASIDE
-                && kind >= 0
-                && kind < module.kinds().size();
-        List<String> fields = module.reports() == Decisions.Reports.NONE ? List.of() : module.reportFields();
+        int originKind = decisionSettings.origin().kind();
+        boolean originListed = decisionSettings.origin().mode() == Decisions.Mode.ASIDE
+                && originKind >= 0
+                && originKind < decisionSettings.kinds().size();
+        List<String> reportFields =
+                decisionSettings.reports() == Decisions.Reports.NONE ? List.of() : decisionSettings.reportFields();
         South south = new South(
-                around.dialer(),
+                environment.dialer(),
                 time,
                 counters,
                 inventory::entry,
-                listed ? module.kinds().get(kind) : null,
-                fields,
-                module.limits(),
-                half,
+                originListed ? decisionSettings.kinds().get(originKind) : null,
+                reportFields,
+                decisionSettings.limits(),
+                maxConnections,
                 dispatcher);
-        boolean asked = module.membership() == Decisions.Membership.ASK;
-        int others = asked && module.limits().mayTellPeers()
-                ? Math.min(settings.peers().size(), module.balancers())
+        boolean listIsPolled = decisionSettings.membership() == Decisions.Membership.ASK;
+        int exchangeMembers = listIsPolled && decisionSettings.limits().mayTellPeers()
+                ? Math.min(settings.peers().size(), decisionSettings.balancers())
                 : 0;
-        othersKnow = others > 1;
+        canAskPeers = exchangeMembers > 1;
         ListConfirmation confirmation =
-                asked ? ListConfirmation.from(time.now(), othersKnow) : ListConfirmation.notNeeded();
-        Consumer<ServerList> hearsList = list -> {
+                listIsPolled ? ListConfirmation.from(time.now(), canAskPeers) : ListConfirmation.notNeeded();
+        Consumer<ServerList> onServerList = list -> {
             dispatcher.listed(list);
-            inventory.forget(south::uses);
-            ready();
+            inventory.forget(south::inUse);
+            becomeReady();
         };
         discovery = new Discovery(
                 settings.discovery(),
-                around.dialer(),
+                environment.dialer(),
                 time,
                 inventory,
                 counters,
-                new CallPacing(module.balancers(), module.index(), module.seed()),
+                new CallPacing(decisionSettings.balancers(), decisionSettings.index(), decisionSettings.seed()),
                 confirmation,
-                hearsList);
+                onServerList);
         peers = new Peers(
                 settings.peers(),
                 settings.peerListen(),
                 settings.peersAll(),
-                around.peers(),
+                environment.peers(),
                 counters,
-                this::heardFrom);
-        exchange = new ListExchange(
-                module.index(),
-                Math.max(1, others),
-                ~module.seed(),
+                this::peerMessageReceived);
+        listExchange = new ListExchange(
+                decisionSettings.index(),
+                Math.max(1, exchangeMembers),
+                ~decisionSettings.seed(),
                 time,
                 inventory,
                 confirmation,
                 counters,
                 peers::tell,
-                hearsList);
-        exchange.whenConfirmed(() -> {
+                onServerList);
+        listExchange.whenConfirmed(() -> {
             discovery.heardFromOthers();
-            ready();
+            becomeReady();
         });
         discovery.whenUnwatched(exchange::seek);
         dispatcher.setListFreshnessCheck(() -> confirmation.current(time.now()));
@@ -167,24 +176,24 @@
     }
 
     /** What is about lists stays here; a datagram of any other kind is the decisions' to read or pass over. */
-    private void heardFrom(int peer, byte[] content) {
-        if (!exchange.heard(peer, content)) {
+    private void peerMessageReceived(int peer, byte[] content) {
+        if (!listExchange.heard(peer, content)) {
             dispatcher.heard(peer, content);
         }
     }
 
-    private static int half(Settings settings) {
-        return (settings.sockets() - OTHER_DESCRIPTORS) / 2;
+    private static int maxConnectionsPerSide(Settings settings) {
+        return (settings.sockets() - RESERVED_DESCRIPTORS) / 2;
     }
 
     /** Clients' connections that there may be at a time, those that are to go included. */
     public static int mostAccepted(Settings settings) {
-        return half(settings) + North.MOST_BEYOND;
+        return maxConnectionsPerSide(settings) + North.MOST_BEYOND;
     }
 
     /** The setting's bound, where there is one; an absent one reads as 0. */
-    private static int most(int open) {
-        return open > 0 ? Math.min(open, MOST_OPEN) : MOST_OPEN;
+    private static int maxOpenRequests(int configured) {
+        return configured > 0 ? Math.min(configured, MAX_OPEN_REQUESTS) : MAX_OPEN_REQUESTS;
     }
 
     /**
@@ -196,7 +205,7 @@
      *              silent. Where lists are asked for it waits for another balancer's first word, or a tenth of a second
      */
     public void start(Runnable serve) {
-        toServe = serve;
+        startServing = serve;
         if (settings.known() != null) {
             try {
                 dispatcher.listed(inventory.known(settings.known()));
@@ -206,18 +215,18 @@
         }
         if (settings.module().membership() == Decisions.Membership.PUSH) {
             discovery.attend(settings.module().rules().drainGraceMicros());
-            time.after(FIRST_LIST_MICROS, this::ready);
-        } else if (othersKnow) {
-            exchange.seek();
-            time.after(FIRST_WORD_MICROS, this::ready);
+            time.after(FIRST_LIST_TIMEOUT_MICROS, this::becomeReady);
+        } else if (canAskPeers) {
+            listExchange.seek();
+            time.after(FIRST_PEER_ANSWER_TIMEOUT_MICROS, this::becomeReady);
         } else {
-            ready();
+            becomeReady();
         }
     }
 
-    private void ready() {
-        Runnable serve = toServe;
-        toServe = null;
+    private void becomeReady() {
+        Runnable serve = startServing;
+        startServing = null;
         if (serve != null) {
             serve.run();
         }
@@ -243,32 +252,32 @@
     }
 
     /** Takes over what of a new configuration can change under load: where discovery is. The rest needs a new start. */
-    public void reload(Settings fresh) {
-        log.accept("config: read again, discovery at " + fresh.discovery());
-        boolean same = fresh.name().equals(settings.name())
-                && fresh.listen().equals(settings.listen())
-                && fresh.sockets() == settings.sockets()
-                && fresh.peers().equals(settings.peers())
-                && Objects.equals(fresh.peerListen(), settings.peerListen())
-                && Objects.equals(fresh.peersAll(), settings.peersAll());
-        if (!same) {
+    public void reload(Settings newSettings) {
+        log.accept("config: read again, discovery at " + newSettings.discovery());
+        boolean reloadable = newSettings.name().equals(settings.name())
+                && newSettings.listen().equals(settings.listen())
+                && newSettings.sockets() == settings.sockets()
+                && newSettings.peers().equals(settings.peers())
+                && Objects.equals(newSettings.peerListen(), settings.peerListen())
+                && Objects.equals(newSettings.peersAll(), settings.peersAll());
+        if (!reloadable) {
             log.accept("config: a new name, listen, limits or peers take a restart; the old ones stay");
         }
-        discovery.move(fresh.discovery());
+        discovery.move(newSettings.discovery());
     }
 
     /** The longest that {@link #drain} takes, in microseconds. */
     public long mostDrainMicros() {
-        long longest = settings.module().classes().stream()
+        long longestDeadlineMicros = settings.module().classes().stream()
                 .mapToLong(Decisions.RequestClass::deadlineMicros)
                 .max()
                 .orElse(0);
-        return Math.min(longest, LONGEST_DEADLINE_MICROS) + END_MICROS;
+        return Math.min(longestDeadlineMicros, MAX_DEADLINE_MICROS) + DRAIN_MARGIN_MICROS;
     }
 
     /** Serves on for a while, then takes nothing new and answers all that was taken; {@code ended} follows once. */
     public void drain(Runnable stopListening, Runnable ended) {
-        Runnable once = new Runnable() {
+        Runnable endOnce = new Runnable() {
             private boolean done;
 
             @Override
@@ -279,31 +288,31 @@
                 }
             }
         };
-        time.after(ACCEPT_ON_MICROS, () -> {
+        time.after(DRAIN_ACCEPT_MICROS, () -> {
             north.drain();
             stopListening.run();
-            time.after(LOOK_MICROS, () -> look(once));
+            time.after(DRAIN_POLL_MICROS, () -> pollUntilQuiet(endOnce));
         });
         time.after(mostDrainMicros(), () -> {
             north.failAll();
-            time.after(PARTING_MICROS, once);
+            time.after(CLIENT_CLOSE_GRACE_MICROS, endOnce);
         });
     }
 
     /** Ends once every answer and this side's end have left everywhere, and clients have had a moment to take them. */
-    private void look(Runnable ended) {
+    private void pollUntilQuiet(Runnable ended) {
         if (north.quiet()) {
-            parting(ended, time.now() + PARTING_MICROS);
+            awaitClientCloses(ended, time.now() + CLIENT_CLOSE_GRACE_MICROS);
         } else {
-            time.after(LOOK_MICROS, () -> look(ended));
+            time.after(DRAIN_POLL_MICROS, () -> pollUntilQuiet(ended));
         }
     }
 
-    private void parting(Runnable ended, long untilMicros) {
+    private void awaitClientCloses(Runnable ended, long untilMicros) {
         if (north.empty() || time.now() >= untilMicros) {
             ended.run();
         } else {
-            time.after(LOOK_MICROS, () -> parting(ended, untilMicros));
+            time.after(DRAIN_POLL_MICROS, () -> awaitClientCloses(ended, untilMicros));
         }
     }
 }
--- a/balancer/src/main/java/baymoor/south/South.java
+++ b/balancer/src/main/java/baymoor/south/South.java
@@ -166,7 +166,7 @@
     }
 
     /** Whether a host has attempts that are sent or queued, or open connections. */
-    public boolean uses(long id) {
+    public boolean inUse(long id) {
         return hosts.containsKey(id);
     }
 
--- a/balancer/src/test/java/baymoor/assembly/EveryFieldTest.java
+++ b/balancer/src/test/java/baymoor/assembly/EveryFieldTest.java
@@ -25,7 +25,7 @@
 /** A configuration with one field missing, of another kind or out of range: one line names it, or it serves. */
 public class EveryFieldTest {
 
-    private static final Object[] STRANGE = {
+    private static final Object[] UNUSUAL_VALUES = {
         "",
         "strange",
         -1,
@@ -39,70 +39,72 @@
         new JSONArray(),
         new JSONArray(List.of(JSONObject.NULL))
     };
-    private static final String ID = "7f3a9c21e0b4d655";
+    private static final String REQUEST_ID = "7f3a9c21e0b4d655";
 
-    private static String good() throws Exception {
+    private static String validConfig() throws Exception {
         return Files.readString(Path.of("balancer/src/test/resources/pushed.json"));
     }
 
     /** Each place in an object, as the names and numbers that lead there. */
-    private static List<List<Object>> places(Object in, List<Object> at) {
-        List<List<Object>> all = new ArrayList<>();
-        if (in instanceof JSONObject object) {
+    private static List<List<Object>> fieldPaths(Object container, List<Object> parent) {
+        List<List<Object>> paths = new ArrayList<>();
+        if (container instanceof JSONObject object) {
             for (String name : object.keySet()) {
-                inner(object.get(name), at, name, all);
+                addWithChildren(object.get(name), parent, name, paths);
             }
-        } else if (in instanceof JSONArray array) {
+        } else if (container instanceof JSONArray array) {
             for (int i = 0; i < array.length(); i++) {
-                inner(array.get(i), at, i, all);
+                addWithChildren(array.get(i), parent, i, paths);
             }
         }
-        return all;
+        return paths;
     }
 
-    private static void inner(Object value, List<Object> at, Object step, List<List<Object>> all) {
-        List<Object> place = new ArrayList<>(at);
-        place.add(step);
-        all.add(place);
-        all.addAll(places(value, place));
+    private static void addWithChildren(Object value, List<Object> parent, Object key, List<List<Object>> paths) {
+        List<Object> path = new ArrayList<>(parent);
+        path.add(key);
+        paths.add(path);
+        paths.addAll(fieldPaths(value, path));
     }
 
     /** The configuration with another value at a place; null takes it out. */
-    private static String with(List<Object> place, Object value) throws Exception {
-        return with(new JSONObject(good()), place, value);
+    private static String withValue(List<Object> path, Object value) throws Exception {
+        return withValue(new JSONObject(validConfig()), path, value);
     }
 
-    private static String with(JSONObject top, List<Object> place, Object value) {
-        Object in = top;
-        for (Object step : place.subList(0, place.size() - 1)) {
-            in = step instanceof String name ? ((JSONObject) in).get(name) : ((JSONArray) in).get((Integer) step);
+    private static String withValue(JSONObject top, List<Object> path, Object value) {
+        Object container = top;
+        for (Object key : path.subList(0, path.size() - 1)) {
+            container = key instanceof String name
+                    ? ((JSONObject) container).get(name)
+                    : ((JSONArray) container).get((Integer) key);
         }
-        Object last = place.get(place.size() - 1);
-        if (in instanceof JSONObject object) {
+        Object lastKey = path.get(path.size() - 1);
+        if (container instanceof JSONObject object) {
             if (value == null) {
-                object.remove((String) last);
+                object.remove((String) lastKey);
             } else {
-                object.put((String) last, value);
+                object.put((String) lastKey, value);
             }
         } else if (value == null) {
-            ((JSONArray) in).remove((Integer) last);
+            ((JSONArray) container).remove((Integer) lastKey);
         } else {
-            ((JSONArray) in).put((Integer) last, value);
+            ((JSONArray) container).put((Integer) lastKey, value);
         }
         return top.toString();
     }
 
     /** A place as operators read it, settings.classes[0].on_time. */
-    private static String path(List<Object> place) {
-        StringBuilder path = new StringBuilder();
-        for (Object step : place) {
-            path.append(step instanceof String name ? (path.isEmpty() ? "" : ".") + name : "[" + step + "]");
+    private static String dottedPath(List<Object> path) {
+        StringBuilder text = new StringBuilder();
+        for (Object key : path) {
+            text.append(key instanceof String name ? (text.isEmpty() ? "" : ".") + name : "[" + key + "]");
         }
-        return path.toString();
+        return text.toString();
     }
 
     /** Null if all is well with a configuration, or what isn't; {@code place} is what a refusal has to name. */
-    private static String wrong(String config, String place) {
+    private static String problem(String config, String expectedField) {
         Counters counters = new Counters();
         ManualTime time = new ManualTime();
         FakeLink client = new FakeLink();
@@ -128,16 +130,16 @@
             events.received(RespWriter.command(
                     RespWriter.ascii("OBJ.GET"),
                     RespWriter.ascii("0a"),
-                    RespWriter.ascii(ID),
+                    RespWriter.ascii(REQUEST_ID),
                     RespWriter.ascii("c=path-lookup,t=nordgods,d=800")));
             for (int i = 0; i < 40; i++) {
                 time.pass(50_000);
             }
         } catch (BadConfig e) {
-            String said = e.getMessage();
-            return said.startsWith("config: ") && said.lines().count() == 1 && said.contains(place)
+            String message = e.getMessage();
+            return message.startsWith("config: ") && message.lines().count() == 1 && message.contains(expectedField)
                     ? null
-                    : "said: " + said;
+                    : "said: " + message;
         } catch (RuntimeException | Error e) {
             return e + " at " + e.getStackTrace()[0];
         }
@@ -152,29 +154,29 @@
     }
 
     @Test
-    public void eachFieldOfEachPlace() throws Exception {
-        assertEquals(null, wrong(good(), ""));
-        Map<String, String> wrong = new TreeMap<>();
-        List<List<Object>> places = places(new JSONObject(good()), List.of());
-        for (List<Object> place : places) {
-            String missing = wrong(with(place, null), path(place));
+    public void missingOrUnusualFieldIsNamedInTheErrorOrTheBalancerServes() throws Exception {
+        assertEquals(null, problem(validConfig(), ""));
+        Map<String, String> problems = new TreeMap<>();
+        List<List<Object>> paths = fieldPaths(new JSONObject(validConfig()), List.of());
+        for (List<Object> path : paths) {
+            String missing = problem(withValue(path, null), dottedPath(path));
             if (missing != null) {
-                wrong.put(place + " missing", missing);
+                problems.put(path + " missing", missing);
             }
-            for (Object strange : STRANGE) {
-                String said = wrong(with(place, strange), path(place));
-                if (said != null) {
-                    wrong.put(place + " = " + strange, said);
+            for (Object unusual : UNUSUAL_VALUES) {
+                String invalid = problem(withValue(path, unusual), dottedPath(path));
+                if (invalid != null) {
+                    problems.put(path + " = " + unusual, invalid);
                 }
             }
         }
-        assertTrue(places.size() > 100);
-        assertEquals(wrong.size() + " of " + places.size() * (STRANGE.length + 1), Map.of(), wrong);
+        assertTrue(paths.size() > 100);
+        assertEquals(problems.size() + " of " + paths.size() * (UNUSUAL_VALUES.length + 1), Map.of(), problems);
     }
 
     /** Settings that are odd and not wrong: a request is answered under each. */
     @Test
-    public void oddSettingsServe() throws Exception {
+    public void unusualButValidSettingsServe() throws Exception {
         Object[][] cases = {
             {"key_ttl", 0, "a window of nothing: what may have run is never sent again"},
             {"on_time", 0, "no aim: a request is of use until its deadline"},
@@ -194,24 +196,24 @@
             {"cpu_us_per_s", 0, "no bound on processor time"},
         };
         for (Object[] c : cases) {
-            JSONObject top = new JSONObject(good());
-            List<List<Object>> named = places(top, List.of()).stream()
+            JSONObject top = new JSONObject(validConfig());
+            List<List<Object>> matching = fieldPaths(top, List.of()).stream()
                     .filter(p -> c[0].equals(p.get(p.size() - 1)))
                     .toList();
             String config = top.toString();
-            for (List<Object> place : named) {
-                config = with(new JSONObject(config), place, c[1]);
+            for (List<Object> path : matching) {
+                config = withValue(new JSONObject(config), path, c[1]);
             }
-            assertTrue(c[0] + " is in no place", !named.isEmpty());
-            assertEquals((String) c[2], null, wrong(config, "nothing is to be refused"));
+            assertTrue(c[0] + " is in no place", !matching.isEmpty());
+            assertEquals((String) c[2], null, problem(config, "nothing is to be refused"));
         }
     }
 
     @Test
-    public void whatIsNotJsonAtAll() {
+    public void textThatIsNotJsonIsRejected() {
         for (String text : new String[] {"", "[]", "null", "{", "{\"name\":}", "\u0000"}) {
-            assertEquals(text, null, wrong(text, ""));
+            assertEquals(text, null, problem(text, ""));
         }
-        assertTrue(wrong(new String(new byte[] {(byte) 0xff}, StandardCharsets.ISO_8859_1), "") == null);
+        assertTrue(problem(new String(new byte[] {(byte) 0xff}, StandardCharsets.ISO_8859_1), "") == null);
     }
 }
--- a/balancer/src/test/java/baymoor/south/SouthTest.java
+++ b/balancer/src/test/java/baymoor/south/SouthTest.java
@@ -381,11 +381,11 @@
         FakeLink next = send("s", 3, null);
         assertTrue("a connection of its own", next != null);
         time.pass(1_000_000);
-        assertTrue("its attempt is still out", south.uses(ROUTER));
+        assertTrue("its attempt is still out", south.inUse(ROUTER));
         link.events.closed();
         time.pass(1_000_000);
-        assertFalse(south.uses(ROUTER));
-        assertTrue(south.uses(3));
+        assertFalse(south.inUse(ROUTER));
+        assertTrue(south.inUse(3));
     }
 
     @Test
