--- a/balancer/src/main/java/baymoor/assembly/Assembly.java
+++ b/balancer/src/main/java/baymoor/assembly/Assembly.java
@@ -170,7 +170,7 @@
             discovery.heardFromOthers();
             becomeReady();
         });
-        discovery.whenUnwatched(exchange::seek);
+        discovery.whenUnwatched(listExchange::seek);
         dispatcher.setListFreshnessCheck(() -> confirmation.current(time.now()));
         dispatcher.connect(north, south, discovery, peers);
     }
