--- a/balancer/src/main/java/baymoor/south/Attempt.java
+++ b/balancer/src/main/java/baymoor/south/Attempt.java
@@ -11,14 +11,14 @@
     final RequestContent content;
     final long startedMicros;
     final long deadlineMicros;
-    private final BooleanSupplier wanted;
+    private final BooleanSupplier stillAllowed;
     Time.Timer timer;
     HostConnection connection;
     boolean ended;
 
     /**
      * @param content null for a probe
-     * @param wanted  whether the request still needs this attempt, asked right before it is sent
+     * @param stillAllowed whether the request still needs this attempt, asked right before it is sent
      */
     Attempt(
             String requestId,
@@ -27,8 +27,8 @@
             RequestContent content,
             long startedMicros,
             long deadlineMicros,
-            BooleanSupplier wanted) {
-        this.wanted = wanted;
+            BooleanSupplier stillAllowed) {
+        this.stillAllowed = stillAllowed;
         this.requestId = requestId;
         this.number = number;
         this.host = host;
@@ -37,11 +37,11 @@
         this.deadlineMicros = deadlineMicros;
     }
 
-    boolean wanted() {
-        return wanted.getAsBoolean();
+    boolean stillAllowed() {
+        return stillAllowed.getAsBoolean();
     }
 
-    boolean probe() {
+    boolean isProbe() {
         return content == null;
     }
 }
--- a/balancer/src/main/java/baymoor/south/Host.java
+++ b/balancer/src/main/java/baymoor/south/Host.java
@@ -9,9 +9,9 @@
     final long id;
     InetSocketAddress address;
     /** Idle connections, the most recently used one last. That one is reused first, so that surplus connections time out. */
-    final Deque<HostConnection> idle = new ArrayDeque<>();
+    final Deque<HostConnection> idleConnections = new ArrayDeque<>();
 
-    final Deque<Attempt> waiting = new ArrayDeque<>();
+    final Deque<Attempt> queued = new ArrayDeque<>();
     int connectionCount;
     private final South south;
 
@@ -21,38 +21,38 @@
     }
 
     /** Adds a connection to the idle ones. */
-    void release(HostConnection connection) {
+    void addIdleConnection(HostConnection connection) {
         connection.idleSinceMicros = south.time.now();
-        idle.addLast(connection);
-        south.hostsWithIdle.add(this);
-        south.serveWaiting();
+        idleConnections.addLast(connection);
+        south.hostsWithIdleConnections.add(this);
+        south.scheduleAssignment();
     }
 
     /** Removes and returns the most recently used idle connection that can be reused, or null. */
-    HostConnection takeIdle() {
-        HostConnection connection = idle.pollLast();
+    HostConnection takeIdleConnection() {
+        HostConnection connection = idleConnections.pollLast();
         while (connection != null && !connection.reusable()) {
             connection.close();
-            connection = idle.pollLast();
+            connection = idleConnections.pollLast();
         }
-        rested();
+        updateIdleHosts();
         return connection;
     }
 
     /** Removes a connection from the idle ones, if it is one of them. */
-    void dropIdle(HostConnection connection) {
-        idle.remove(connection);
-        rested();
+    void removeIdleConnection(HostConnection connection) {
+        idleConnections.remove(connection);
+        updateIdleHosts();
     }
 
-    private void rested() {
-        if (idle.isEmpty()) {
-            south.hostsWithIdle.remove(this);
+    private void updateIdleHosts() {
+        if (idleConnections.isEmpty()) {
+            south.hostsWithIdleConnections.remove(this);
         }
     }
 
-    void closeIdle() {
-        for (HostConnection connection : idle.toArray(new HostConnection[0])) {
+    void closeIdleConnections() {
+        for (HostConnection connection : idleConnections.toArray(new HostConnection[0])) {
             connection.close();
         }
     }
--- a/balancer/src/main/java/baymoor/south/HostConnection.java
+++ b/balancer/src/main/java/baymoor/south/HostConnection.java
@@ -19,7 +19,7 @@
      * read as the answer to the next attempt. Twice the longest delay is waited for, and bytes that arrive in that time close the
      * connection. An answer takes about ten times as long, so few additional connections are needed.
      */
-    private static final long REST_MICROS = 20_000;
+    private static final long QUIET_MICROS = 20_000;
 
     private final South south;
     private final Host host;
@@ -44,7 +44,7 @@
 
     void dial() {
         // MINA checks connect time-outs only once a second, so the time-out is kept here.
-        connectTimer = south.time.after(south.connectMicros, this::close);
+        connectTimer = south.time.after(south.connectTimeoutMicros, this::close);
         link = south.dialer.dial(host.address, this);
     }
 
@@ -58,26 +58,26 @@
     }
 
     /** Starts an attempt on this idle connection. */
-    void assign(Attempt next) {
+    void assign(Attempt newAttempt) {
         Invariant.check(open && attempt == null && !closing, "a connection carries one attempt at a time");
-        attempt = next;
-        next.connection = this;
+        attempt = newAttempt;
+        newAttempt.connection = this;
         writeRequest();
     }
 
     private void writeRequest() {
         // Checked again right before writing: the host may have begun to drain while the attempt was queued.
-        if (!south.mayBegin(attempt)) {
+        if (!south.maySend(attempt)) {
             Attempt refused = attempt;
             attempt = null;
-            host.release(this);
-            south.time.after(0, () -> south.end(refused, Reply.without(Outcome.NOT_SENT)));
+            host.addIdleConnection(this);
+            south.time.after(0, () -> south.endAttempt(refused, Reply.withoutAnswer(Outcome.NOT_SENT)));
             return;
         }
         requestWritten = false;
         // Rounded down, so that the host is never given more time than this balancer waits.
         long waitMillis = Math.max(1, (attempt.deadlineMicros - south.time.now()) / 1000);
-        link.write(attempt.probe() ? codec.probe() : codec.request(attempt.content, waitMillis));
+        link.write(attempt.isProbe() ? codec.probe() : codec.request(attempt.content, waitMillis));
     }
 
     /**
@@ -92,7 +92,7 @@
     void close() {
         if (!closing) {
             closing = true;
-            host.dropIdle(this);
+            host.removeIdleConnection(this);
             link.close();
         }
     }
@@ -124,28 +124,28 @@
             stallTimer.cancel();
         }
         if (reply == null) {
-            stallTimer = south.time.after(south.stallMicros, this::stalled);
+            stallTimer = south.time.after(south.stallTimeoutMicros, this::abortStalled);
             return;
         }
         Attempt answered = attempt;
         attempt = null;
         if (reply.reusable() && requestWritten && reusable()) {
-            south.time.after(REST_MICROS, this::rested);
+            south.time.after(QUIET_MICROS, this::returnToIdle);
         } else {
             close();
         }
-        south.end(answered, reply);
+        south.endAttempt(answered, reply);
     }
 
-    private void rested() {
+    private void returnToIdle() {
         if (!closing && reusable()) {
-            host.release(this);
+            host.addIdleConnection(this);
         } else {
             close();
         }
     }
 
-    private void stalled() {
+    private void abortStalled() {
         if (!closing && attempt != null) {
             south.counters.add(Count.ANSWERS_STALLED);
             abort(Outcome.ERROR);
@@ -164,26 +164,26 @@
             stallTimer.cancel();
         }
         closing = true;
-        host.dropIdle(this);
+        host.removeIdleConnection(this);
         host.connectionCount--;
         south.connectionCount--;
         if (attempt != null) {
-            Reply end = abortOutcome == null ? codec.end() : null;
-            Attempt broken = attempt;
+            Reply finalReply = abortOutcome == null ? codec.end() : null;
+            Attempt interrupted = attempt;
             attempt = null;
             // The host may have run the request only if its last byte was written; otherwise it is NOT_CONNECTED.
             // This is decided here and not when the time-out fired: the last byte may be written while the
             // connection is being closed, and the event for it is always delivered before this one.
-            Outcome broke = abortOutcome == null ? Outcome.RESET : abortOutcome;
-            south.end(
-                    broken,
-                    end != null
-                            ? end
-                            : Reply.without(
-                                    requestWritten || broke == Outcome.CANCELLED || broke == Outcome.ERROR
-                                            ? broke
+            Outcome outcome = abortOutcome == null ? Outcome.RESET : abortOutcome;
+            south.endAttempt(
+                    interrupted,
+                    finalReply != null
+                            ? finalReply
+                            : Reply.withoutAnswer(
+                                    requestWritten || outcome == Outcome.CANCELLED || outcome == Outcome.ERROR
+                                            ? outcome
                                             : Outcome.NOT_CONNECTED));
         }
-        south.serveWaiting();
+        south.scheduleAssignment();
     }
 }
--- a/balancer/src/main/java/baymoor/south/LoadReport.java
+++ b/balancer/src/main/java/baymoor/south/LoadReport.java
@@ -7,13 +7,13 @@
 /** Parses a load report, a JSON object or a list of {@code name=value}, into the order given by the settings. */
 final class LoadReport {
 
-    private static final double[] NONE = new double[0];
+    private static final double[] NO_REPORT = new double[0];
 
     private LoadReport() {}
 
     static double[] parse(String text, List<String> fields) {
         if (text == null || text.isBlank() || fields.isEmpty()) {
-            return NONE;
+            return NO_REPORT;
         }
         try {
             JSONObject values = new JSONObject();
@@ -33,7 +33,7 @@
             }
             return report;
         } catch (JSONException e) {
-            return NONE;
+            return NO_REPORT;
         }
     }
 }
--- a/balancer/src/main/java/baymoor/south/OriginCodec.java
+++ b/balancer/src/main/java/baymoor/south/OriginCodec.java
@@ -11,14 +11,14 @@
 /** Speaks HTTP/1.1 with the origin. */
 final class OriginCodec implements Codec {
 
-    private static final int LONGEST_BODY = 64 * 1024;
+    private static final int MAX_BODY_BYTES = 64 * 1024;
     private static final int OK = 200;
-    private static final int UNAVAILABLE = 503;
-    private static final int TOO_LATE = 504;
+    private static final int SERVICE_UNAVAILABLE = 503;
+    private static final int GATEWAY_TIMEOUT = 504;
 
     private final String host;
     private final List<String> reportFields;
-    private ResponseReader reader = new ResponseReader(LONGEST_BODY);
+    private ResponseReader reader = new ResponseReader(MAX_BODY_BYTES);
 
     OriginCodec(String host, List<String> reportFields) {
         this.host = host;
@@ -30,7 +30,7 @@
         // A fixed order: that of Map.of differs from one JVM to the next, and the bytes sent should not.
         Map<String, String> headers = new LinkedHashMap<>();
         headers.put("X-Correlation-Id", content.id());
-        headers.put("X-Facts", content.factsOnWire(waitMillis));
+        headers.put("X-Facts", content.encodeFacts(waitMillis));
         String target = "/" + RequestWriter.segment(content.key());
         return RequestWriter.request(content.value() == null ? "GET" : "PUT", target, host, headers, content.value());
     }
@@ -43,10 +43,10 @@
     @Override
     public Reply feed(byte[] bytes) {
         try {
-            int used = reader.feed(bytes);
-            return reader.whole() ? reply(used == bytes.length) : null;
+            int consumed = reader.feed(bytes);
+            return reader.whole() ? reply(consumed == bytes.length) : null;
         } catch (HttpException e) {
-            return Reply.without(Outcome.ERROR);
+            return Reply.withoutAnswer(Outcome.ERROR);
         }
     }
 
@@ -56,21 +56,22 @@
         return reader.whole() ? reply(false) : null;
     }
 
-    private Reply reply(boolean clean) {
-        ResponseReader answer = reader;
-        reader = new ResponseReader(LONGEST_BODY);
-        boolean untouched = "1".equals(answer.header("x-unprocessed"))
-                && (answer.status() == UNAVAILABLE || answer.status() == TOO_LATE);
+    private Reply reply(boolean fullyConsumed) {
+        ResponseReader response = reader;
+        reader = new ResponseReader(MAX_BODY_BYTES);
+        boolean unprocessed = "1".equals(response.header("x-unprocessed"))
+                && (response.status() == SERVICE_UNAVAILABLE || response.status() == GATEWAY_TIMEOUT);
         // Without that header a 503 may have run, like a 500.
         // A 200 without a stated length can't be distinguished from one that was cut short.
-        Outcome outcome =
-                answer.status() == OK && answer.sized() ? Outcome.SERVED : untouched ? Outcome.FULL : Outcome.ERROR;
-        byte[] value = answer.takeBody();
+        Outcome outcome = response.status() == OK && response.sized()
+                ? Outcome.SERVED
+                : unprocessed ? Outcome.FULL : Outcome.ERROR;
+        byte[] value = response.takeBody();
         return new Reply(
                 outcome,
                 outcome == Outcome.SERVED ? value : null,
                 0,
-                LoadReport.parse(answer.header("x-backend-load"), reportFields),
-                clean && answer.reusable());
+                LoadReport.parse(response.header("x-backend-load"), reportFields),
+                fullyConsumed && response.reusable());
     }
 }
--- a/balancer/src/main/java/baymoor/south/Reply.java
+++ b/balancer/src/main/java/baymoor/south/Reply.java
@@ -12,10 +12,10 @@
  */
 public record Reply(Outcome outcome, byte[] value, int note, double[] report, boolean reusable) {
 
-    private static final double[] NONE = new double[0];
+    private static final double[] NO_REPORT = new double[0];
 
     /** The reply of an attempt that ended without an answer. */
-    static Reply without(Outcome outcome) {
-        return new Reply(outcome, null, 0, NONE, false);
+    static Reply withoutAnswer(Outcome outcome) {
+        return new Reply(outcome, null, 0, NO_REPORT, false);
     }
 }
--- a/balancer/src/main/java/baymoor/south/RequestContent.java
+++ b/balancer/src/main/java/baymoor/south/RequestContent.java
@@ -13,7 +13,7 @@
  */
 public record RequestContent(String key, String id, Map<String, String> facts, byte[] value) {
 
-    private static final String DEADLINE = "d";
+    private static final String DEADLINE_FACT = "d";
 
     /**
      * The facts as they are sent to routers and the origin alike: in the client's order, with the client's deadline replaced by
@@ -21,10 +21,10 @@
      *
      * @param waitMillis how long the balancer will wait for the answer, in milliseconds
      */
-    String factsOnWire(long waitMillis) {
-        Map<String, String> told = new LinkedHashMap<>(facts);
-        told.put(DEADLINE, Long.toString(waitMillis));
-        return told.entrySet().stream()
+    String encodeFacts(long waitMillis) {
+        Map<String, String> sentFacts = new LinkedHashMap<>(facts);
+        sentFacts.put(DEADLINE_FACT, Long.toString(waitMillis));
+        return sentFacts.entrySet().stream()
                 .map(fact -> fact.getKey() + "=" + fact.getValue())
                 .collect(Collectors.joining(","));
     }
--- a/balancer/src/main/java/baymoor/south/RouterCodec.java
+++ b/balancer/src/main/java/baymoor/south/RouterCodec.java
@@ -16,10 +16,10 @@
 final class RouterCodec implements Codec {
 
     private final RespReader reader = RespReader.ofAnswers();
-    private static final double[] NONE = new double[0];
-    private static final int ANSWER_ITEMS = 3;
-    private static final Pattern TURNED_AWAY = Pattern.compile("BUSY( [0-9]{1,9})?");
-    private static final Pattern READABLE = Pattern.compile("BUSY( [0-9]{1,9})?|(ERR|SYNTAX|NOPERM)( [ -~]*)?");
+    private static final double[] NO_REPORT = new double[0];
+    private static final int ANSWER_ITEM_COUNT = 3;
+    private static final Pattern BUSY_ERROR = Pattern.compile("BUSY( [0-9]{1,9})?");
+    private static final Pattern KNOWN_ERROR = Pattern.compile("BUSY( [0-9]{1,9})?|(ERR|SYNTAX|NOPERM)( [ -~]*)?");
 
     private final List<String> reportFields;
     private boolean probing;
@@ -33,10 +33,10 @@
         probing = false;
         byte[] key = RespWriter.ascii(content.key());
         byte[] id = RespWriter.ascii(content.id());
-        byte[] list = RespWriter.ascii(content.factsOnWire(waitMillis));
+        byte[] facts = RespWriter.ascii(content.encodeFacts(waitMillis));
         return content.value() == null
-                ? RespWriter.command(RespWriter.ascii("OBJ.GET"), key, id, list)
-                : RespWriter.command(RespWriter.ascii("OBJ.SET"), key, id, list, content.value());
+                ? RespWriter.command(RespWriter.ascii("OBJ.GET"), key, id, facts)
+                : RespWriter.command(RespWriter.ascii("OBJ.SET"), key, id, facts, content.value());
     }
 
     @Override
@@ -52,51 +52,53 @@
         reader.feed(bytes);
         try {
             Resp answer = reader.next();
-            return answer == null ? null : read(answer, !reader.pending());
+            return answer == null ? null : toReply(answer, !reader.pending());
         } catch (RespException e) {
-            return Reply.without(Outcome.ERROR);
+            return Reply.withoutAnswer(Outcome.ERROR);
         }
     }
 
-    private Reply read(Resp answer, boolean clean) {
+    private Reply toReply(Resp answer, boolean fullyConsumed) {
         if (answer instanceof Resp.Failure failure) {
-            boolean busy = TURNED_AWAY.matcher(failure.text()).matches();
-            boolean readable = READABLE.matcher(failure.text()).matches();
-            return new Reply(busy ? Outcome.FULL : Outcome.ERROR, null, 0, NONE, clean && readable);
+            boolean busy = BUSY_ERROR.matcher(failure.text()).matches();
+            boolean known = KNOWN_ERROR.matcher(failure.text()).matches();
+            return new Reply(busy ? Outcome.FULL : Outcome.ERROR, null, 0, NO_REPORT, fullyConsumed && known);
         }
-        Reply reply = probing ? probeReply(answer, clean) : attemptReply(answer, clean);
-        return reply == null ? Reply.without(Outcome.ERROR) : reply;
+        Reply reply = probing ? probeReply(answer, fullyConsumed) : attemptReply(answer, fullyConsumed);
+        return reply == null ? Reply.withoutAnswer(Outcome.ERROR) : reply;
     }
 
     /** Reads a value or receipt, a hit or miss and a load report; null if the answer has any other shape. */
-    private Reply attemptReply(Resp answer, boolean clean) {
+    private Reply attemptReply(Resp answer, boolean fullyConsumed) {
         if (!(answer instanceof Resp.Many many)
                 || many.items() == null
-                || many.items().size() != ANSWER_ITEMS
+                || many.items().size() != ANSWER_ITEM_COUNT
                 || !(many.items().get(0) instanceof Resp.Bulk value)
-                || !(many.items().get(1) instanceof Resp.Bulk how)) {
+                || !(many.items().get(1) instanceof Resp.Bulk cacheStatus)) {
             return null;
         }
-        int note = how.bytes() == null
+        int note = cacheStatus.bytes() == null
                 ? 0
-                : switch (text(how)) {
+                : switch (text(cacheStatus)) {
                     case "hit" -> 1;
                     case "miss" -> 2;
                     case "pending" -> 3;
                     default -> 0;
                 };
         // A malformed load report does not invalidate the value that came with it.
-        double[] report = many.items().get(2) instanceof Resp.Bulk b ? LoadReport.parse(text(b), reportFields) : NONE;
-        return new Reply(value.bytes() == null ? Outcome.MISS : Outcome.SERVED, value.bytes(), note, report, clean);
+        double[] report =
+                many.items().get(2) instanceof Resp.Bulk bulk ? LoadReport.parse(text(bulk), reportFields) : NO_REPORT;
+        return new Reply(
+                value.bytes() == null ? Outcome.MISS : Outcome.SERVED, value.bytes(), note, report, fullyConsumed);
     }
 
     /** Reads the answer to a ping or a load report; null if the answer has any other shape. */
-    private Reply probeReply(Resp answer, boolean clean) {
+    private Reply probeReply(Resp answer, boolean fullyConsumed) {
         if (answer instanceof Resp.Bulk bulk && bulk.bytes() != null && !reportFields.isEmpty()) {
-            return new Reply(Outcome.SERVED, null, 0, LoadReport.parse(text(bulk), reportFields), clean);
+            return new Reply(Outcome.SERVED, null, 0, LoadReport.parse(text(bulk), reportFields), fullyConsumed);
         }
         boolean alive = answer instanceof Resp.Simple simple && simple.text().equals("PONG");
-        return alive ? new Reply(Outcome.SERVED, null, 0, NONE, clean) : null;
+        return alive ? new Reply(Outcome.SERVED, null, 0, NO_REPORT, fullyConsumed) : null;
     }
 
     private static String text(Resp.Bulk bulk) {
--- a/balancer/src/main/java/baymoor/south/South.java
+++ b/balancer/src/main/java/baymoor/south/South.java
@@ -23,44 +23,44 @@
     /** Is told how attempts and probes ended; never from within a call to a method of this class. */
     public interface Listener {
         /** An attempt has ended, and nothing of it can reach the host any more. */
-        void attemptEnded(String request, int attempt, long host, Reply reply, long latencyMicros);
+        void attemptEnded(String requestId, int attempt, long host, Reply reply, long latencyMicros);
 
         /** A probe has ended. */
         void probeEnded(long host, Reply reply, long latencyMicros);
     }
 
-    private static final long SWEEP_MICROS = 1_000_000;
+    private static final long SWEEP_INTERVAL_MICROS = 1_000_000;
     /** An idle connection is closed this long before the host may close it, since a request could cross the host's close. */
-    private static final long IDLE_MARGIN_MICROS = 3_000_000;
+    private static final long IDLE_CLOSE_MARGIN_MICROS = 3_000_000;
 
-    private static final long PROBE_MICROS = 400_000;
-    private static final int STALL_PART = 4;
-    private static final int MOST_CLOSING = 8;
+    private static final long PROBE_TIMEOUT_MICROS = 400_000;
+    private static final int STALL_TIMEOUT_DIVISOR = 4;
+    private static final int MAX_EXCESS_CONNECTIONS = 8;
 
     final Dialer dialer;
     final Time time;
     final Counters counters;
-    final long connectMicros;
+    final long connectTimeoutMicros;
     /**
      * An answer that has begun and then pauses for this long fails: hosts have been observed to announce more bytes than they
      * send. The aims of requests are little longer than the connect time-out, so a part of it leaves time for another attempt.
      */
-    final long stallMicros;
+    final long stallTimeoutMicros;
 
     private final LongFunction<Inventory.Entry> inventory;
     private final String originKind;
     private final List<String> reportFields;
     private final Listener listener;
-    private final long idleMicros;
+    private final long idleTimeoutMicros;
     private final int maxConnections;
     private final Map<Long, Host> hosts = new LinkedHashMap<>();
     private final Map<String, Attempt> attempts = new HashMap<>();
     /** Hosts with attempts that wait for a connection; kept apart, as a fleet may have a thousand hosts without any. */
-    private final Set<Host> hostsWithWaiting = new LinkedHashSet<>();
+    private final Set<Host> hostsWithQueuedAttempts = new LinkedHashSet<>();
     /** Hosts with idle connections. */
-    final Set<Host> hostsWithIdle = new LinkedHashSet<>();
+    final Set<Host> hostsWithIdleConnections = new LinkedHashSet<>();
 
-    private boolean servingScheduled;
+    private boolean assignmentScheduled;
     int connectionCount;
 
     /**
@@ -85,89 +85,91 @@
         this.reportFields = reportFields;
         this.maxConnections = maxConnections;
         this.listener = listener;
-        connectMicros = limits.connectTimeoutMicros() > 0 ? limits.connectTimeoutMicros() : SWEEP_MICROS;
-        stallMicros = connectMicros / STALL_PART;
-        long idle = limits.idleCloseMicros() > 0 ? limits.idleCloseMicros() : Long.MAX_VALUE;
-        idleMicros = Math.max(idle / 2, idle - IDLE_MARGIN_MICROS);
-        time.after(SWEEP_MICROS, this::sweep);
+        connectTimeoutMicros =
+                limits.connectTimeoutMicros() > 0 ? limits.connectTimeoutMicros() : SWEEP_INTERVAL_MICROS;
+        stallTimeoutMicros = connectTimeoutMicros / STALL_TIMEOUT_DIVISOR;
+        long idleCloseMicros = limits.idleCloseMicros() > 0 ? limits.idleCloseMicros() : Long.MAX_VALUE;
+        idleTimeoutMicros = Math.max(idleCloseMicros / 2, idleCloseMicros - IDLE_CLOSE_MARGIN_MICROS);
+        time.after(SWEEP_INTERVAL_MICROS, this::sweep);
     }
 
     /**
      * Starts an attempt. Its end is always reported to the listener, also if it can't be sent.
      *
-     * @param wanted whether the attempt may still begin, asked right before it is written, which may be much later
+     * @param stillAllowed whether the attempt may still begin, asked right before it is written, which may be much later
      */
     public void send(
-            String request,
+            String requestId,
             int attemptNumber,
-            long id,
+            long hostId,
             RequestContent content,
             long deadlineMicros,
-            BooleanSupplier wanted) {
+            BooleanSupplier stillAllowed) {
         counters.add(Count.RELAYS);
-        Attempt attempt = new Attempt(request, attemptNumber, host(id), content, time.now(), deadlineMicros, wanted);
-        attempts.put(key(request, attemptNumber), attempt);
+        Attempt attempt =
+                new Attempt(requestId, attemptNumber, host(hostId), content, time.now(), deadlineMicros, stillAllowed);
+        attempts.put(attemptKey(requestId, attemptNumber), attempt);
         start(attempt);
     }
 
     /** Asks a host for its load report, or for a sign of life. */
-    public void probe(long id) {
+    public void probe(long hostId) {
         counters.add(Count.PROBES);
-        start(new Attempt(null, 0, host(id), null, time.now(), time.now() + PROBE_MICROS, () -> true));
+        start(new Attempt(null, 0, host(hostId), null, time.now(), time.now() + PROBE_TIMEOUT_MICROS, () -> true));
     }
 
     private void start(Attempt attempt) {
         if (attempt.host.address == null) { // no list has named it
-            time.after(0, () -> end(attempt, Reply.without(Outcome.NOT_SENT)));
+            time.after(0, () -> endAttempt(attempt, Reply.withoutAnswer(Outcome.NOT_SENT)));
             return;
         }
         attempt.timer = time.after(attempt.deadlineMicros - time.now(), () -> abort(attempt, Outcome.TIMED_OUT));
-        attempt.host.waiting.addLast(attempt);
-        hostsWithWaiting.add(attempt.host);
-        place(attempt.host);
+        attempt.host.queued.addLast(attempt);
+        hostsWithQueuedAttempts.add(attempt.host);
+        assignConnections(attempt.host);
     }
 
     /** Aborts an attempt. Its end is reported to the listener. */
-    public void cancel(String request, int attemptNumber) {
-        Attempt attempt = attempts.get(key(request, attemptNumber));
+    public void cancel(String requestId, int attemptNumber) {
+        Attempt attempt = attempts.get(attemptKey(requestId, attemptNumber));
         if (attempt != null) {
             time.after(0, () -> abort(attempt, Outcome.CANCELLED));
         }
     }
 
     /** Removes an attempt from the queue for a connection; one that has been written goes on. */
-    public void withdraw(String request, int attemptNumber) {
-        Attempt attempt = attempts.get(key(request, attemptNumber));
-        if (attempt != null && attempt.host.waiting.remove(attempt)) {
-            time.after(0, () -> end(attempt, Reply.without(Outcome.NOT_SENT)));
+    public void withdraw(String requestId, int attemptNumber) {
+        Attempt attempt = attempts.get(attemptKey(requestId, attemptNumber));
+        if (attempt != null && attempt.host.queued.remove(attempt)) {
+            time.after(0, () -> endAttempt(attempt, Reply.withoutAnswer(Outcome.NOT_SENT)));
         }
     }
 
     /** Closes the idle connections to a host. */
-    public void closeIdle(long id) {
-        Host host = hosts.get(id);
+    public void closeIdle(long hostId) {
+        Host host = hosts.get(hostId);
         if (host != null) {
-            host.closeIdle();
+            host.closeIdleConnections();
         }
     }
 
     /** The inventory has changed: closes idle connections to hosts that take no new requests. */
     public void inventoryChanged() {
         for (Host host : hosts.values()) {
-            if (!runs(host)) {
-                host.closeIdle();
+            if (!acceptsRequests(host)) {
+                host.closeIdleConnections();
             }
         }
     }
 
-    private boolean runs(Host host) {
+    private boolean acceptsRequests(Host host) {
         Inventory.Entry entry = inventory.apply(host.id);
         return entry != null && entry.state() == State.RUNNING;
     }
 
     /** Whether a host has attempts that are sent or queued, or open connections. */
-    public boolean inUse(long id) {
-        return hosts.containsKey(id);
+    public boolean inUse(long hostId) {
+        return hosts.containsKey(hostId);
     }
 
     private void abort(Attempt attempt, Outcome outcome) {
@@ -177,81 +179,81 @@
         if (attempt.connection != null) {
             attempt.connection.abort(outcome);
         } else {
-            attempt.host.waiting.remove(attempt);
-            end(attempt, Reply.without(outcome == Outcome.TIMED_OUT ? Outcome.NOT_CONNECTED : outcome));
+            attempt.host.queued.remove(attempt);
+            endAttempt(attempt, Reply.withoutAnswer(outcome == Outcome.TIMED_OUT ? Outcome.NOT_CONNECTED : outcome));
         }
     }
 
-    private Host host(long id) {
-        Inventory.Entry entry = inventory.apply(id);
+    private Host host(long hostId) {
+        Inventory.Entry entry = inventory.apply(hostId);
         if (entry == null) {
-            return new Host(id, this);
+            return new Host(hostId, this);
         }
-        Host host = hosts.computeIfAbsent(id, i -> new Host(i, this));
+        Host host = hosts.computeIfAbsent(hostId, key -> new Host(key, this));
         if (!entry.address().equals(host.address)) {
-            host.closeIdle();
+            host.closeIdleConnections();
             host.address = entry.address();
         }
         return host;
     }
 
     /** Whether an attempt may still be sent: its request needs it, its host takes requests, and its deadline has not passed. */
-    boolean mayBegin(Attempt attempt) {
-        return attempt.wanted() && runs(attempt.host) && time.now() < attempt.deadlineMicros;
+    boolean maySend(Attempt attempt) {
+        return attempt.stillAllowed() && acceptsRequests(attempt.host) && time.now() < attempt.deadlineMicros;
     }
 
     /** Assigns connections to the attempts that wait for a host: idle ones first, then new ones within the bound. */
-    private void place(Host host) {
-        while (!host.waiting.isEmpty()) {
-            HostConnection connection = host.takeIdle();
+    private void assignConnections(Host host) {
+        while (!host.queued.isEmpty()) {
+            HostConnection connection = host.takeIdleConnection();
             if (connection != null) {
-                connection.assign(host.waiting.pollFirst());
-            } else if (connectionCount < maxConnections || evict(host)) {
+                connection.assign(host.queued.pollFirst());
+            } else if (connectionCount < maxConnections || closeIdleOfAnotherHost(host)) {
                 connectionCount++;
                 host.connectionCount++;
-                boolean origin = inventory.apply(host.id).kind().equals(originKind);
-                String at = host.address.getAddress().getHostAddress() + ":" + host.address.getPort();
-                Codec codec = origin ? new OriginCodec(at, reportFields) : new RouterCodec(reportFields);
-                new HostConnection(this, host, codec, host.waiting.pollFirst()).dial();
+                boolean isOrigin = inventory.apply(host.id).kind().equals(originKind);
+                String address = host.address.getAddress().getHostAddress() + ":" + host.address.getPort();
+                Codec codec = isOrigin ? new OriginCodec(address, reportFields) : new RouterCodec(reportFields);
+                new HostConnection(this, host, codec, host.queued.pollFirst()).dial();
             } else {
                 return;
             }
         }
-        hostsWithWaiting.remove(host);
+        hostsWithQueuedAttempts.remove(host);
     }
 
     /**
      * Makes room for a connection by closing an idle one of another host. Until that close has completed the bound is exceeded;
      * by how much is limited, as a thousand hosts once held as many surplus connections, far more than there are descriptors.
      */
-    private boolean evict(Host wanting) {
-        for (Host host : hostsWithIdle) {
-            if (host != wanting) {
-                host.idle.peekFirst().close();
-                return connectionCount < maxConnections + MOST_CLOSING;
+    private boolean closeIdleOfAnotherHost(Host requester) {
+        for (Host host : hostsWithIdleConnections) {
+            if (host != requester) {
+                host.idleConnections.peekFirst().close();
+                return connectionCount < maxConnections + MAX_EXCESS_CONNECTIONS;
             }
         }
         return false;
     }
 
     /** Assigns connections to all waiting attempts, after the current event has been handled. */
-    void serveWaiting() {
-        if (!servingScheduled && !hostsWithWaiting.isEmpty()) {
-            servingScheduled = true;
+    void scheduleAssignment() {
+        if (!assignmentScheduled && !hostsWithQueuedAttempts.isEmpty()) {
+            assignmentScheduled = true;
             time.after(0, () -> {
-                servingScheduled = false;
-                for (Host host : List.copyOf(hostsWithWaiting)) {
-                    if (connectionCount >= maxConnections && hostsWithIdle.isEmpty()) {
+                assignmentScheduled = false;
+                for (Host host : List.copyOf(hostsWithQueuedAttempts)) {
+                    if (connectionCount >= maxConnections && hostsWithIdleConnections.isEmpty()) {
                         break;
                     }
-                    place(host);
+                    assignConnections(host);
                 }
             });
         }
     }
 
     /** Reports the end of an attempt to the listener, once. */
-    void end(Attempt attempt, Reply reply) {
+    void endAttempt(Attempt attempt, Reply reply) {
         if (attempt.ended) {
             return;
         }
@@ -260,11 +262,11 @@
             attempt.timer.cancel();
         }
         long latency = time.now() - attempt.startedMicros;
-        if (attempt.probe()) {
+        if (attempt.isProbe()) {
             listener.probeEnded(attempt.host.id, reply, latency);
             return;
         }
-        attempts.remove(key(attempt.requestId, attempt.number));
+        attempts.remove(attemptKey(attempt.requestId, attempt.number));
         counters.add(
                 switch (reply.outcome()) {
                     case SERVED -> Count.RELAYS_SERVED;
@@ -280,18 +282,18 @@
         listener.attemptEnded(attempt.requestId, attempt.number, attempt.host.id, reply, latency);
     }
 
-    private static String key(String request, int attemptNumber) {
-        return attemptNumber + "/" + request;
+    private static String attemptKey(String requestId, int attemptNumber) {
+        return attemptNumber + "/" + requestId;
     }
 
     private void sweep() {
-        time.after(SWEEP_MICROS, this::sweep);
+        time.after(SWEEP_INTERVAL_MICROS, this::sweep);
         inventoryChanged();
-        hosts.values().removeIf(h -> !runs(h) && h.connectionCount == 0 && h.waiting.isEmpty());
-        hostsWithWaiting.removeIf(h -> h.waiting.isEmpty()); // their attempts have timed out
+        hosts.values().removeIf(host -> !acceptsRequests(host) && host.connectionCount == 0 && host.queued.isEmpty());
+        hostsWithQueuedAttempts.removeIf(host -> host.queued.isEmpty()); // their attempts have timed out
         for (Host host : hosts.values()) {
-            for (HostConnection connection : host.idle.toArray(new HostConnection[0])) {
-                if (time.now() - connection.idleSinceMicros > idleMicros) {
+            for (HostConnection connection : host.idleConnections.toArray(new HostConnection[0])) {
+                if (time.now() - connection.idleSinceMicros > idleTimeoutMicros) {
                     connection.close();
                 }
             }
--- a/balancer/src/test/java/baymoor/south/SouthTest.java
+++ b/balancer/src/test/java/baymoor/south/SouthTest.java
@@ -22,21 +22,21 @@
 
 public class SouthTest {
 
-    private static final String HIT = "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n";
+    private static final String ANSWER = "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n";
     private static final long ROUTER = 1;
     private static final long ORIGIN = 2;
 
     private final ManualTime time = new ManualTime();
     private final Counters counters = new Counters();
     private final List<FakeLink> links = new ArrayList<>();
-    private final List<String> ended = new ArrayList<>();
+    private final List<String> ends = new ArrayList<>();
     private final Map<Long, Inventory.Entry> inventory = new HashMap<>();
-    private final Set<String> unwanted = new HashSet<>();
+    private final Set<String> disallowed = new HashSet<>();
     private South south = south(10);
 
     private South south(int maxConnections) {
-        list(ROUTER, "two-core", State.RUNNING);
-        list(ORIGIN, "origin", State.RUNNING);
+        putHost(ROUTER, "two-core", State.RUNNING);
+        putHost(ORIGIN, "origin", State.RUNNING);
         return new South(
                 (to, events) -> {
                     FakeLink link = new FakeLink();
@@ -55,17 +55,17 @@
                     @Override
                     public void attemptEnded(String request, int attempt, long host, Reply reply, long latencyMicros) {
                         String value = reply.value() == null ? "" : " " + new String(reply.value());
-                        ended.add(request + " " + reply.outcome() + value);
+                        ends.add(request + " " + reply.outcome() + value);
                     }
 
                     @Override
                     public void probeEnded(long host, Reply reply, long latencyMicros) {
-                        ended.add("probe " + reply.outcome());
+                        ends.add("probe " + reply.outcome());
                     }
                 });
     }
 
-    private void list(long id, String kind, State state) {
+    private void putHost(long id, String kind, State state) {
         inventory.put(id, new Inventory.Entry(id, new InetSocketAddress("127.0.0.1", (int) id), kind, state));
     }
 
@@ -77,7 +77,7 @@
                 host,
                 new RequestContent("k", request, Map.of("d", "9"), value),
                 time.now() + 800_000,
-                () -> !unwanted.contains(request));
+                () -> !disallowed.contains(request));
         return links.size() > before ? links.get(before) : null;
     }
 
@@ -89,47 +89,47 @@
     }
 
     /** An answered connection rests for a moment before it may carry the next attempt. */
-    private void rest() {
+    private void passQuietPeriod() {
         time.pass(20_000);
     }
 
-    private String ends() {
+    private String takeEnds() {
         time.pass(0);
-        String all = String.join("; ", ended);
-        ended.clear();
+        String all = String.join("; ", ends);
+        ends.clear();
         return all;
     }
 
     @Test
-    public void whatNobodyWaitsForAnyMoreDoesNotBeginWhenItsConnectionComesUp() {
+    public void disallowedAttemptIsNotSentWhenItsConnectionOpens() {
         FakeLink link = send("r", ROUTER, null);
-        unwanted.add("r");
+        disallowed.add("r");
         south.withdraw("r", 0);
-        assertEquals("its connection is not up, and may serve another", "", ends());
+        assertEquals("its connection is not up, and may serve another", "", takeEnds());
         link.events.opened();
         assertEquals("", link.takeOut());
-        assertEquals("r NOT_SENT", ends());
+        assertEquals("r NOT_SENT", takeEnds());
         assertFalse(link.closed);
         send("s", ROUTER, null);
         assertTrue(link.takeOut().contains("$1\r\ns\r\n"));
         south.withdraw("s", 0);
         link.events.written();
-        link.in(HIT);
-        assertEquals("what has begun ends by itself", "s SERVED v", ends());
+        link.in(ANSWER);
+        assertEquals("what has begun ends by itself", "s SERVED v", takeEnds());
     }
 
     /** Seen: 1134 of 1517 further attempts at an origin told it the client's whole deadline, most of which had passed. */
     @Test
-    public void anAttemptTellsRouterAndOriginAlikeWhatIsLeftAsItsBytesLeave() {
+    public void attemptSendsTheRemainingTimeToRouterAndOrigin() {
         for (long host : new long[] {ROUTER, ORIGIN}) {
             String request = "told" + host;
-            long untilMicros = time.now() + 800_000;
+            long deadlineMicros = time.now() + 800_000;
             south.send(
                     request,
                     1,
                     host,
                     new RequestContent("k", request, Map.of("d", "1400"), null),
-                    untilMicros,
+                    deadlineMicros,
                     () -> true);
             FakeLink link = links.get(links.size() - 1);
             time.pass(200_000);
@@ -142,12 +142,12 @@
 
     /** Danger: what the driver has read already, and the decisions not heard of, would be the next attempt's answer. */
     @Test
-    public void anIdleConnectionOnWhichSomethingCameOrThatIsOverIsNotTaken() {
+    public void idleConnectionWithUnreadBytesOrClosedByTheHostIsNotReused() {
         for (int i = 0; i < 2; i++) {
             FakeLink idle = sendAndWrite("a" + i, ROUTER);
-            idle.in(HIT);
-            rest();
-            ends();
+            idle.in(ANSWER);
+            passQuietPeriod();
+            takeEnds();
             idle.takeOut();
             idle.unread = i == 0;
             idle.over = i == 1;
@@ -155,36 +155,36 @@
             assertEquals("", idle.takeOut());
             assertTrue(idle.closed);
             idle.events.closed();
-            second.in(HIT.replace("v", "w"));
-            assertEquals("b" + i + " SERVED w", ends());
+            second.in(ANSWER.replace("v", "w"));
+            assertEquals("b" + i + " SERVED w", takeEnds());
             second.unread = true; // so that each round begins with a connection of its own
-            rest();
+            passQuietPeriod();
             second.events.closed();
         }
     }
 
     @Test
-    public void whatNobodyWaitsForAnyMoreLeavesTheQueueForAConnection() {
+    public void withdrawnAttemptLeavesTheQueueForAConnection() {
         south = south(1);
-        FakeLink only = sendAndWrite("a", ROUTER);
+        FakeLink link = sendAndWrite("a", ROUTER);
         send("b", ROUTER, null);
         send("c", ORIGIN, null);
         south.withdraw("b", 0);
         south.withdraw("c", 0);
         south.withdraw("unknown", 0);
-        assertEquals("b NOT_SENT; c NOT_SENT", ends());
-        only.takeOut();
-        only.in(HIT);
-        rest();
-        assertEquals("a SERVED v", ends());
-        assertEquals("", only.takeOut());
+        assertEquals("b NOT_SENT; c NOT_SENT", takeEnds());
+        link.takeOut();
+        link.in(ANSWER);
+        passQuietPeriod();
+        assertEquals("a SERVED v", takeEnds());
+        assertEquals("", link.takeOut());
         assertEquals(1, links.size());
     }
 
     @Test
-    public void whatARouterSaysAsATable() {
+    public void routerAnswersMapToOutcomes() {
         String[][] cases = {
-            {HIT, "r SERVED v"},
+            {ANSWER, "r SERVED v"},
             {"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n", "r MISS"},
             {"-BUSY\r\n", "r FULL"},
             {"-BUSY 20\r\n", "r FULL"},
@@ -209,22 +209,22 @@
         for (String[] c : cases) {
             FakeLink link = sendAndWrite("r", ROUTER);
             link.in(c[0]);
-            assertEquals(c[0], c[1], ends());
-            boolean sound = !c[1].equals("r ERROR") || c[0].equals("-ERR failed\r\n") || c[0].equals("-SYNTAX\r\n");
-            assertEquals(c[0], !sound, link.closed);
+            assertEquals(c[0], c[1], takeEnds());
+            boolean reusable = !c[1].equals("r ERROR") || c[0].equals("-ERR failed\r\n") || c[0].equals("-SYNTAX\r\n");
+            assertEquals(c[0], !reusable, link.closed);
             link.events.closed();
         }
     }
 
     @Test
-    public void whatTheOriginSaysAsATable() {
-        String none = "Content-Length: 0\r\n\r\n";
+    public void originResponsesMapToOutcomes() {
+        String emptyBody = "Content-Length: 0\r\n\r\n";
         String[][] cases = {
             {"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv", "r SERVED v"},
-            {"HTTP/1.1 500 no\r\n" + none, "r ERROR"},
-            {"HTTP/1.1 503 no\r\nX-Unprocessed: 1\r\n" + none, "r FULL"},
-            {"HTTP/1.1 504 no\r\nX-Unprocessed: 1\r\n" + none, "r FULL"},
-            {"HTTP/1.1 503 no\r\n" + none, "r ERROR"},
+            {"HTTP/1.1 500 no\r\n" + emptyBody, "r ERROR"},
+            {"HTTP/1.1 503 no\r\nX-Unprocessed: 1\r\n" + emptyBody, "r FULL"},
+            {"HTTP/1.1 504 no\r\nX-Unprocessed: 1\r\n" + emptyBody, "r FULL"},
+            {"HTTP/1.1 503 no\r\n" + emptyBody, "r ERROR"},
             {
                 "HTTP/1.1 100 go on\r\n\r\nHTTP/1.1 102 yes\r\nA: b\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv",
                 "r SERVED v"
@@ -239,118 +239,118 @@
         for (String[] c : cases) {
             FakeLink link = sendAndWrite("r", ORIGIN);
             link.in(c[0]);
-            assertEquals(c[0], c[1], ends());
+            assertEquals(c[0], c[1], takeEnds());
             link.events.closed();
         }
     }
 
     @Test
-    public void brokenBeforeTheLastByteNeverRanAfterItMayHave() {
+    public void closeBeforeTheLastByteIsNotConnectedAndAfterItIsReset() {
         send("r", ROUTER, null).events.closed();
-        assertEquals("r NOT_CONNECTED", ends());
-        FakeLink half = send("r", ROUTER, null);
-        half.events.opened();
-        half.events.closed();
-        assertEquals("r NOT_CONNECTED", ends());
+        assertEquals("r NOT_CONNECTED", takeEnds());
+        FakeLink unwritten = send("r", ROUTER, null);
+        unwritten.events.opened();
+        unwritten.events.closed();
+        assertEquals("r NOT_CONNECTED", takeEnds());
         sendAndWrite("r", ROUTER).events.closed();
-        assertEquals("r RESET", ends());
+        assertEquals("r RESET", takeEnds());
     }
 
     @Test
-    public void anEndIsToldOnlyOnceTheConnectionIsClosed() {
+    public void endIsReportedOnlyOnceTheConnectionIsClosed() {
         FakeLink link = sendAndWrite("r", ROUTER);
         time.pass(800_000);
         assertTrue(link.closed);
-        assertEquals("", ends());
-        link.in(HIT);
+        assertEquals("", takeEnds());
+        link.in(ANSWER);
         link.events.closed();
-        assertEquals("r TIMED_OUT", ends());
+        assertEquals("r TIMED_OUT", takeEnds());
         FakeLink cancelled = sendAndWrite("s", ROUTER);
         south.cancel("s", 0);
-        assertEquals("", ends());
+        assertEquals("", takeEnds());
         cancelled.events.closed();
-        assertEquals("s CANCELLED", ends());
+        assertEquals("s CANCELLED", takeEnds());
     }
 
     @Test
-    public void aConnectionThatNeverComesUpIsGivenUpInTime() {
+    public void connectionThatDoesNotOpenTimesOut() {
         FakeLink link = send("r", ROUTER, null);
         time.pass(249_999);
         assertFalse(link.closed);
         time.pass(1);
         assertTrue(link.closed);
         link.events.closed();
-        assertEquals("r NOT_CONNECTED", ends());
+        assertEquals("r NOT_CONNECTED", takeEnds());
     }
 
     @Test
-    public void anIdleConnectionIsUsedAgainButNotNearItsEnd() {
+    public void idleConnectionIsReusedAndClosedBeforeTheHostsIdleTimeout() {
         FakeLink link = sendAndWrite("r", ROUTER);
-        link.in(HIT);
-        assertEquals("r SERVED v", ends());
-        rest();
+        link.in(ANSWER);
+        assertEquals("r SERVED v", takeEnds());
+        passQuietPeriod();
         assertEquals(null, send("s", ROUTER, null));
         assertTrue(link.takeOut().contains("$1\r\ns\r\n"));
         link.events.written();
-        link.in(HIT);
+        link.in(ANSWER);
         time.pass(28_000_000);
         assertTrue(link.closed);
     }
 
     @Test
-    public void whatNobodyWaitsForNeverAnswersTheNextAttempt() {
+    public void unsolicitedBytesCloseTheConnectionAndAnswerNoAttempt() {
         FakeLink link = sendAndWrite("r", ROUTER);
-        link.in(HIT);
-        ends();
-        link.in(HIT);
+        link.in(ANSWER);
+        takeEnds();
+        link.in(ANSWER);
         assertTrue(link.closed);
         assertEquals(1, counters.get(Count.ANSWERS_UNASKED));
-        FakeLink twice = sendAndWrite("s", ROUTER);
-        twice.in(HIT + HIT);
-        assertTrue(twice.closed);
-        assertEquals("s SERVED v", ends());
+        FakeLink duplicated = sendAndWrite("s", ROUTER);
+        duplicated.in(ANSWER + ANSWER);
+        assertTrue(duplicated.closed);
+        assertEquals("s SERVED v", takeEnds());
     }
 
     @Test
-    public void anAnswerOfUnknownLengthIsNotServedWhenItsConnectionEnds() {
+    public void originResponseWithoutALengthIsAnErrorWhenItsConnectionCloses() {
         FakeLink link = sendAndWrite("r", ORIGIN);
         link.in("HTTP/1.1 200 OK\r\n\r\nv");
         link.events.closed();
-        assertEquals("r ERROR", ends());
+        assertEquals("r ERROR", takeEnds());
     }
 
     @Test
-    public void aCopyThatComesSomeMillisecondsLateFindsNoAttemptToAnswer() {
+    public void duplicateAnswerWithinTheQuietPeriodAnswersNoAttempt() {
         FakeLink link = sendAndWrite("a", ROUTER);
-        link.in(HIT);
-        assertEquals("a SERVED v", ends());
+        link.in(ANSWER);
+        assertEquals("a SERVED v", takeEnds());
         time.pass(10_000);
         FakeLink other = send("b", ROUTER, null);
         assertFalse("the connection of that answer still rests", other == null);
-        link.in(HIT);
+        link.in(ANSWER);
         assertTrue(link.closed);
         other.events.opened();
         other.events.written();
-        other.in(HIT.replace("v", "w"));
-        assertEquals("b SERVED w", ends());
+        other.in(ANSWER.replace("v", "w"));
+        assertEquals("b SERVED w", takeEnds());
     }
 
     @Test
-    public void aCopyRightBehindAnAnswerFindsNoAttemptToAnswer() {
+    public void unreadDuplicateAnswerAtTheEndOfTheQuietPeriodAnswersNoAttempt() {
         FakeLink link = sendAndWrite("r", ROUTER);
-        link.in(HIT);
-        assertEquals("r SERVED v", ends());
+        link.in(ANSWER);
+        assertEquals("r SERVED v", takeEnds());
         FakeLink other = send("s", ROUTER, null);
         assertTrue("the first still rests", other != null);
         link.unread = true;
-        rest();
+        passQuietPeriod();
         assertTrue(link.closed);
-        link.in(HIT);
-        assertEquals("", ends());
+        link.in(ANSWER);
+        assertEquals("", takeEnds());
     }
 
     @Test
-    public void anAnswerThatStopsHalfwayIsSpoiltBeforeItsTimeIsUp() {
+    public void answerThatStallsHalfwayFailsBeforeTheDeadline() {
         FakeLink link = sendAndWrite("r", ROUTER);
         link.in("*3\r\n$9\r\nv");
         time.pass(62_499);
@@ -360,23 +360,23 @@
         time.pass(1);
         assertTrue(link.closed);
         link.events.closed();
-        assertEquals("r ERROR", ends());
+        assertEquals("r ERROR", takeEnds());
         assertEquals(1, counters.get(Count.ANSWERS_STALLED));
     }
 
     @Test
-    public void aQueuedSendLooksAgainAtADrainingHost() {
+    public void attemptIsNotSentIfItsHostStartsDrainingWhileTheConnectionOpens() {
         FakeLink link = send("r", ROUTER, null);
-        list(ROUTER, "two-core", State.DRAINING);
+        putHost(ROUTER, "two-core", State.DRAINING);
         link.events.opened();
         assertEquals("", link.out.toString());
-        assertEquals("r NOT_SENT", ends());
+        assertEquals("r NOT_SENT", takeEnds());
     }
 
     @Test
-    public void aHostThatIsGoneIsForgottenAndItsConnectionNeverServesTheNextOneAtItsAddress() {
+    public void connectionOfAGoneHostIsNotReusedForAnotherHostAtTheSameAddress() {
         FakeLink link = sendAndWrite("r", ROUTER);
-        list(ROUTER, "two-core", State.GONE);
+        putHost(ROUTER, "two-core", State.GONE);
         inventory.put(3L, new Inventory.Entry(3, new InetSocketAddress("127.0.0.1", 1), "two-core", State.RUNNING));
         FakeLink next = send("s", 3, null);
         assertTrue("a connection of its own", next != null);
@@ -389,51 +389,51 @@
     }
 
     @Test
-    public void pastTheBoundAttemptsWaitForAConnection() {
+    public void attemptsBeyondTheConnectionLimitWaitForAConnection() {
         south = south(1);
         FakeLink link = sendAndWrite("r", ROUTER);
         assertEquals(null, send("s", ROUTER, null));
         link.takeOut();
-        link.in(HIT);
-        assertEquals("r SERVED v", ends());
-        rest();
+        link.in(ANSWER);
+        assertEquals("r SERVED v", takeEnds());
+        passQuietPeriod();
         assertTrue(link.takeOut().contains("$1\r\ns\r\n"));
         link.events.written();
         send("t", ROUTER, null);
         time.pass(800_000);
         link.events.closed();
-        assertEquals("t NOT_CONNECTED; s TIMED_OUT", ends());
+        assertEquals("t NOT_CONNECTED; s TIMED_OUT", takeEnds());
     }
 
     /** Found by reading while the emulator was written: a time-out may fall due between the last byte and the word of it. */
     @Test
-    public void aLastByteThatLeavesWhileItIsGivenUpMayHaveRun() {
+    public void attemptWhoseLastByteIsWrittenDuringItsTimeoutMayHaveRun() {
         FakeLink link = send("r", ORIGIN, new byte[] {1});
         link.events.opened();
         time.pass(800_000);
         assertTrue(link.closed);
         link.events.written();
         link.events.closed();
-        assertEquals("r TIMED_OUT", ends());
+        assertEquals("r TIMED_OUT", takeEnds());
         link = send("s", ORIGIN, new byte[] {1});
         link.events.opened();
         time.pass(800_000);
         link.events.closed();
-        assertEquals("s NOT_CONNECTED", ends());
+        assertEquals("s NOT_CONNECTED", takeEnds());
     }
 
     /** Found in the emulator: with a thousand hosts there were as many connections past the bound as hosts. */
     @Test
-    public void manyHostsTakeNoMoreConnectionsThanAFewPastTheBound() {
+    public void connectionsToManyHostsExceedTheLimitByAFewAtMost() {
         south = south(20);
         for (long host = 100; host < 200; host++) {
-            list(host, "two-core", State.RUNNING);
+            putHost(host, "two-core", State.RUNNING);
             FakeLink link = send("r" + host, host, null);
             if (link != null) {
                 link.events.opened();
                 link.events.written();
-                link.in(HIT);
-                rest();
+                link.in(ANSWER);
+                passQuietPeriod();
             }
         }
         long open = links.size() - links.stream().filter(l -> l.closed).count();
