--- a/balancer/src/main/java/baymoor/assembly/Assembly.java
+++ b/balancer/src/main/java/baymoor/assembly/Assembly.java
@@ -27,13 +27,18 @@
 import org.json.JSONException;
 
 /**
- * One balancer without its sockets: all state machines put together round whatever clock and connections it is given.
- * The serving program gives it MINA's and the system's; an emulator may give it others, and gets the same balancer.
- * Every method belongs on the thread that the given {@link Time} runs its tasks on.
+ * One balancer without its sockets: connects all its state machines to a given clock and network. The serving program
+ * passes the system's; an emulator or a load test may pass simulated ones. Not thread-safe: every method is called on the
+ * thread that runs the tasks of the given {@link Time}.
  */
 public final class Assembly {
 
-    /** What the machine round a balancer gives it. */
+    /**
+     * The clock, network and limits that a balancer runs with.
+     *
+     * @param unixMillisToMicros converts Unix time in milliseconds to the time of {@code time}, in microseconds
+     * @param mostValueBytes     limit of the values of all open writes together, in bytes
+     */
     public record Surroundings(
             Time time,
             Dialer dialer,
@@ -44,30 +49,31 @@
             Consumer<String> log) {}
 
     /**
-     * Descriptors that are neither clients' nor hosts': 25 of listeners, selectors, peers and files of the JVM, two watches and a
-     * call for the list, and what there may be of connections past the bounds while others close.
+     * File descriptors kept free for everything but client and host connections: listeners, selectors, peers, files of the JVM,
+     * discovery calls, and connections beyond the limits while others close.
      */
     private static final int RESERVED_DESCRIPTORS = 64;
-    /** New connections are said to keep coming for up to 0.4 s after SIGTERM. */
+    /** How long a draining balancer accepts connections: new ones may arrive for up to 0.4 s after SIGTERM. */
     private static final long DRAIN_ACCEPT_MICROS = 600_000;
-    /** SIGKILL follows 0.7 s after the longest deadline, which counts as 3 s at most; a little before, all ends. */
+    /** Cap on the longest request deadline that a drain waits for. SIGKILL follows 0.7 s after the deadline so capped. */
     private static final long MAX_DEADLINE_MICROS = 3_000_000;
 
+    /** Added to that deadline; then the drain ends whatever is left. Below the 0.7 s until SIGKILL. */
     private static final long DRAIN_MARGIN_MICROS = 500_000;
-    /** Open requests that the memory bears beside their values, whatever the settings allow. */
+    /** Limit of open requests whatever the settings allow, set by the memory that they take in addition to their values. */
     private static final int MAX_OPEN_REQUESTS = 8192;
 
     private static final long DRAIN_POLL_MICROS = 10_000;
-    /** An agent answers at once, unless discovery is down: then the list of the configuration is the best there is. */
+    /** How long to wait for the discovery agent's first list before serving by the list of the configuration. */
     private static final long FIRST_LIST_TIMEOUT_MICROS = 1_000_000;
     /**
-     * Another balancer answers within milliseconds which hosts drain that run by the configuration's list. Where none
-     * does so soon, none knows, and the list of the configuration is the best there is.
+     * How long to wait for another balancer's first answer before serving by the list of the configuration. Balancers that
+     * have a newer list answer within milliseconds.
      */
     private static final long FIRST_PEER_ANSWER_TIMEOUT_MICROS = 100_000;
     /**
-     * For clients to take their last answer and end their side: a program that ends before resets connections on which
-     * something came in unread. Within what {@link #DRAIN_MARGIN_MICROS} leaves before SIGKILL.
+     * How long clients may take to read their last answer and close. When the program exits, connections with unread input
+     * are reset, which may lose that answer. Together with {@link #DRAIN_MARGIN_MICROS} it ends before SIGKILL.
      */
     private static final long CLIENT_CLOSE_GRACE_MICROS = 100_000;
 
@@ -81,11 +87,13 @@
     private final Discovery discovery;
     private final Peers peers;
     private final ListExchange listExchange;
-    /** Whether there are other balancers that can be asked which hosts run. */
+    /** Whether other balancers can be asked for the state of the hosts. */
     private final boolean canAskPeers;
 
+    /** Starts serving clients; null once it has run. */
     private Runnable startServing;
 
+    /** Creates a balancer; {@link #start} starts it. */
     public Assembly(Settings settings, Surroundings environment) {
         this.settings = settings;
         time = environment.time();
@@ -175,7 +183,7 @@
         dispatcher.connect(north, south, discovery, peers);
     }
 
-    /** What is about lists stays here; a datagram of any other kind is the decisions' to read or pass over. */
+    /** Handles a datagram of another balancer: a message of the list exchange here, any other one in the decision module. */
     private void peerMessageReceived(int peer, byte[] content) {
         if (!listExchange.heard(peer, content)) {
             dispatcher.heard(peer, content);
@@ -186,23 +194,23 @@
         return (settings.sockets() - RESERVED_DESCRIPTORS) / 2;
     }
 
-    /** Clients' connections that there may be at a time, those that are to go included. */
+    /** Returns the limit of open client connections, including those that are being evicted. */
     public static int mostAccepted(Settings settings) {
         return maxConnectionsPerSide(settings) + North.MOST_BEYOND;
     }
 
-    /** The setting's bound, where there is one; an absent one reads as 0. */
+    /** @param configured limit of the settings, 0 without one */
     private static int maxOpenRequests(int configured) {
         return configured > 0 ? Math.min(configured, MAX_OPEN_REQUESTS) : MAX_OPEN_REQUESTS;
     }
 
     /**
-     * Takes the list that the configuration holds, if any, and where lists are pushed begins to listen to the agent that
-     * they are pushed to: nothing arrives by itself on sockets, and the module orders no watch there. The first event.
+     * Starts the balancer with the server list of the configuration, if any. Where lists are pushed, starts the watch on the
+     * discovery agent, as the decision module orders none then. Must be called once, before any other event.
      *
-     * @param serve begins to take clients. Danger: what the agent holds counts as told from the first moment on, while the
-     *              configuration's list may be old; so this waits for the agent's first word, or a second where it is
-     *              silent. Where lists are asked for it waits for another balancer's first word, or a tenth of a second
+     * @param serve starts serving clients. As the list of the configuration may be old, it is called after the first list of
+     *              the agent or {@link #FIRST_LIST_TIMEOUT_MICROS}; where lists are polled, after the first answer of
+     *              another balancer or {@link #FIRST_PEER_ANSWER_TIMEOUT_MICROS}
      */
     public void start(Runnable serve) {
         startServing = serve;
@@ -210,7 +218,7 @@
             try {
                 dispatcher.listed(inventory.known(settings.known()));
             } catch (JSONException e) {
-                log.accept("config: known can't be read, starting without it: " + e.getMessage());
+                log.accept("config: known is not a valid server list, starting without it: " + e.getMessage());
             }
         }
         if (settings.module().membership() == Decisions.Membership.PUSH) {
@@ -232,12 +240,16 @@
         }
     }
 
-    /** A client has connected. */
+    /**
+     * Handles a new client connection.
+     *
+     * @return the receiver of the connection's events
+     */
     public LinkEvents client(Link link) {
         return north.client(link);
     }
 
-    /** Another balancer's datagram has come in. */
+    /** Handles a datagram of another balancer. */
     public void heard(InetSocketAddress from, byte[] content) {
         peers.received(from, content);
     }
@@ -246,14 +258,14 @@
         return counters;
     }
 
-    /** The version of the list that is held, by which tools measure how long a change takes to be known. */
+    /** Returns the version of the server list in use, by which tools measure how long a change takes to arrive. */
     public long listVersion() {
         return inventory.version();
     }
 
-    /** Takes over what of a new configuration can change under load: where discovery is. The rest needs a new start. */
+    /** Applies the part of a new configuration that can change without a restart: the address of discovery. */
     public void reload(Settings newSettings) {
-        log.accept("config: read again, discovery at " + newSettings.discovery());
+        log.accept("config: reloaded, discovery at " + newSettings.discovery());
         boolean reloadable = newSettings.name().equals(settings.name())
                 && newSettings.listen().equals(settings.listen())
                 && newSettings.sockets() == settings.sockets()
@@ -261,12 +273,12 @@
                 && Objects.equals(newSettings.peerListen(), settings.peerListen())
                 && Objects.equals(newSettings.peersAll(), settings.peersAll());
         if (!reloadable) {
-            log.accept("config: a new name, listen, limits or peers take a restart; the old ones stay");
+            log.accept("config: changes of name, listen, limits or peers are ignored until a restart");
         }
         discovery.move(newSettings.discovery());
     }
 
-    /** The longest that {@link #drain} takes, in microseconds. */
+    /** Returns how long after the call of {@link #drain} what is still open fails, in microseconds. */
     public long mostDrainMicros() {
         long longestDeadlineMicros = settings.module().classes().stream()
                 .mapToLong(Decisions.RequestClass::deadlineMicros)
@@ -275,7 +287,12 @@
         return Math.min(longestDeadlineMicros, MAX_DEADLINE_MICROS) + DRAIN_MARGIN_MICROS;
     }
 
-    /** Serves on for a while, then takes nothing new and answers all that was taken; {@code ended} follows once. */
+    /**
+     * Shuts down gracefully: keeps serving for a moment, then accepts nothing new and answers all open requests.
+     *
+     * @param stopListening closes the listeners
+     * @param ended         called once, when the program may exit
+     */
     public void drain(Runnable stopListening, Runnable ended) {
         Runnable endOnce = new Runnable() {
             private boolean done;
@@ -299,7 +316,7 @@
         });
     }
 
-    /** Ends once every answer and this side's end have left everywhere, and clients have had a moment to take them. */
+    /** Polls until every answer is written and every connection is half-closed, then gives clients time to close theirs. */
     private void pollUntilQuiet(Runnable ended) {
         if (north.quiet()) {
             awaitClientCloses(ended, time.now() + CLIENT_CLOSE_GRACE_MICROS);
--- a/balancer/src/test/java/baymoor/assembly/EveryFieldTest.java
+++ b/balancer/src/test/java/baymoor/assembly/EveryFieldTest.java
@@ -22,7 +22,7 @@
 import org.json.JSONObject;
 import org.junit.Test;
 
-/** A configuration with one field missing, of another kind or out of range: one line names it, or it serves. */
+/** A configuration with a field that is missing, mistyped or out of range is rejected by the field's name, or serves. */
 public class EveryFieldTest {
 
     private static final Object[] UNUSUAL_VALUES = {
@@ -45,7 +45,7 @@
         return Files.readString(Path.of("balancer/src/test/resources/pushed.json"));
     }
 
-    /** Each place in an object, as the names and numbers that lead there. */
+    /** Returns the path of every value in a container, as the keys and indexes that lead to it. */
     private static List<List<Object>> fieldPaths(Object container, List<Object> parent) {
         List<List<Object>> paths = new ArrayList<>();
         if (container instanceof JSONObject object) {
@@ -67,7 +67,7 @@
         paths.addAll(fieldPaths(value, path));
     }
 
-    /** The configuration with another value at a place; null takes it out. */
+    /** Returns the valid configuration with another value at a path; null removes it. */
     private static String withValue(List<Object> path, Object value) throws Exception {
         return withValue(new JSONObject(validConfig()), path, value);
     }
@@ -94,7 +94,7 @@
         return top.toString();
     }
 
-    /** A place as operators read it, settings.classes[0].on_time. */
+    /** Formats a path as it is shown to operators: settings.classes[0].on_time. */
     private static String dottedPath(List<Object> path) {
         StringBuilder text = new StringBuilder();
         for (Object key : path) {
@@ -103,7 +103,12 @@
         return text.toString();
     }
 
-    /** Null if all is well with a configuration, or what isn't; {@code place} is what a refusal has to name. */
+    /**
+     * Starts a balancer and sends it a request.
+     *
+     * @param expectedField what the error message must name if the configuration is rejected
+     * @return what went wrong, null if the request was answered or the configuration was rejected as it should be
+     */
     private static String problem(String config, String expectedField) {
         Counters counters = new Counters();
         ManualTime time = new ManualTime();
@@ -139,13 +144,13 @@
             String message = e.getMessage();
             return message.startsWith("config: ") && message.lines().count() == 1 && message.contains(expectedField)
                     ? null
-                    : "said: " + message;
+                    : "unexpected error message: " + message;
         } catch (RuntimeException | Error e) {
             return e + " at " + e.getStackTrace()[0];
         }
         long failures = counters.get(Count.DECISION_FAILURES) + counters.get(Count.TASK_FAILURES);
         if (failures > 0) {
-            return failures + " failures while it served";
+            return failures + " failures while serving";
         }
         String out = client.out.toString();
         return out.startsWith("-") && out.endsWith("\r\n") && out.indexOf("\r\n") == out.length() - 2
@@ -174,26 +179,26 @@
         assertEquals(problems.size() + " of " + paths.size() * (UNUSUAL_VALUES.length + 1), Map.of(), problems);
     }
 
-    /** Settings that are odd and not wrong: a request is answered under each. */
+    /** Unusual settings that are valid: a request is answered under each. */
     @Test
     public void unusualButValidSettingsServe() throws Exception {
         Object[][] cases = {
-            {"key_ttl", 0, "a window of nothing: what may have run is never sent again"},
-            {"on_time", 0, "no aim: a request is of use until its deadline"},
-            {"on_time", 9_000_000, "an aim beyond the deadline"},
-            {"value", 0, "a class that is worth nothing"},
-            {"share", 0.9, "shares that come to more than all"},
-            {"share", 0, "shares that come to nothing"},
-            {"quota_per_s", 0, "no quota for anybody"},
-            {"connect_timeout", 0, "no time for a connection is said"},
-            {"idle_close", 0, "connections that are never closed as idle"},
-            {"open_cap", 0, "no bound on open requests"},
-            {"max_retry_after", 0, "no advice on when to come again"},
-            {"drain_grace", 0, "no grace"},
-            {"ask_within", 0, "no time to ask within"},
-            {"tip_multiple", 0, "cold caches that fall at nothing"},
+            {"key_ttl", 0, "no deduplication window: what may have run is never sent again"},
+            {"on_time", 0, "no latency target before the deadline"},
+            {"on_time", 9_000_000, "a latency target beyond the deadline"},
+            {"value", 0, "a class without value"},
+            {"share", 0.9, "shares with a sum above 1"},
+            {"share", 0, "shares with a sum of 0"},
+            {"quota_per_s", 0, "no quota for any tenant"},
+            {"connect_timeout", 0, "no connect time-out"},
+            {"idle_close", 0, "no idle time-out"},
+            {"open_cap", 0, "no limit of open requests"},
+            {"max_retry_after", 0, "no retry-after"},
+            {"drain_grace", 0, "no drain grace"},
+            {"ask_within", 0, "no time to ask for the list"},
+            {"tip_multiple", 0, "cold caches with no origin capacity"},
             {"tick", 0, "no tick"},
-            {"cpu_us_per_s", 0, "no bound on processor time"},
+            {"cpu_us_per_s", 0, "no CPU limit"},
         };
         for (Object[] c : cases) {
             JSONObject top = new JSONObject(validConfig());
@@ -204,8 +209,8 @@
             for (List<Object> path : matching) {
                 config = withValue(new JSONObject(config), path, c[1]);
             }
-            assertTrue(c[0] + " is in no place", !matching.isEmpty());
-            assertEquals((String) c[2], null, problem(config, "nothing is to be refused"));
+            assertTrue(c[0] + " is not in the configuration", !matching.isEmpty());
+            assertEquals((String) c[2], null, problem(config, "no field may be rejected"));
         }
     }
 
