--- a/balancer/src/main/java/baymoor/dispatch/Dispatcher.java
+++ b/balancer/src/main/java/baymoor/dispatch/Dispatcher.java
@@ -44,20 +44,23 @@
 import merlinstep.Decisions.TimerFired;
 import merlinstep.Decisions.WatchServers;
 
-/** Stands between the decisions and all else: hands them every event and carries out what they order, in order. */
+/**
+ * Passes every event to the decision module and carries out the actions that it returns, in order. Answers each request
+ * once. Not thread-safe: called on the decision thread only.
+ */
 public final class Dispatcher implements RequestHandler, South.Listener, Decisions.Sink {
 
-    /** Where the decisions fail on a timer, it comes again after this long, or their clockwork would stand still. */
+    /** Delay before a timer is set again whose handling has failed, so that periodic work goes on. */
     private static final long TIMER_RETRY_MICROS = 50_000;
 
-    /** A request that the decisions know of, or one of whose attempts is still out. */
+    /** A request that is not done, or that has attempts in flight. */
     private static final class OpenRequest {
         final long ticket;
         final ClientRequest request;
         int attemptCount;
         int attemptsInFlight;
         boolean done;
-        /** When the first attempt that may have run was ordered. */
+        /** Start of the first attempt that its host may have run, {@code Long.MAX_VALUE} without one. */
         long firstPossibleRunMicros = Long.MAX_VALUE;
 
         OpenRequest(long ticket, ClientRequest request) {
@@ -79,7 +82,7 @@
     private South south;
     private Discovery discovery;
     private Peers peers;
-    /** Whether the list held may still be used. */
+    /** Whether the server list is recent enough to send attempts by it. */
     private BooleanSupplier listFresh = () -> true;
 
     public Dispatcher(
@@ -97,7 +100,7 @@
         this.log = log;
     }
 
-    /** Names the parts that carry the actions out; they hear of this object before it can know of them. */
+    /** Sets the components that carry out the actions. They take this object in their constructors, so it takes them here. */
     public void connect(North north, South south, Discovery discovery, Peers peers) {
         this.north = north;
         this.south = south;
@@ -105,7 +108,7 @@
         this.peers = peers;
     }
 
-    /** Attempts begin only while this holds; requests are turned away at once meanwhile. */
+    /** Sets the check whether the server list is fresh. While it is stale, no attempt is sent and new requests are refused. */
     public void setListFreshnessCheck(BooleanSupplier listFresh) {
         this.listFresh = listFresh;
     }
@@ -132,7 +135,7 @@
                 request.write()));
     }
 
-    /** A key of up to 16 hex digits is the number it writes; any other one is hashed. */
+    /** Returns the number that a key of up to 16 hexadecimal digits denotes, or a hash of any other key. */
     private static long key(String key) {
         long hash = 0xcbf29ce484222325L;
         try {
@@ -177,7 +180,7 @@
     public void attemptEnded(String request, int attempt, long host, Reply reply, long latencyMicros) {
         OpenRequest open = requests.get(request);
         if (!Invariant.check(
-                open != null && open.attemptsInFlight > 0, "an attempt ends once, before its request is forgotten")) {
+                open != null && open.attemptsInFlight > 0, "an attempt must end once, while its request is open")) {
             return;
         }
         open.attemptsInFlight--;
@@ -200,13 +203,13 @@
         deliver(new Probed(host, reply.outcome(), latencyMicros, reply.report()));
     }
 
-    /** The inventory has changed, or a call for it has failed. */
+    /** Handles a change of the inventory, or a failed call for it. */
     public void listed(ServerList list) {
         south.inventoryChanged();
         deliver(list);
     }
 
-    /** Another balancer has sent a message. */
+    /** Handles a message of another balancer. */
     public void heard(int from, byte[] content) {
         deliver(new PeerMessage(from, content));
     }
@@ -217,7 +220,7 @@
         try {
             decisions.decide(time.now(), event, this);
         } catch (RuntimeException e) {
-            // The balancer outlives a failure of its decisions: what the event was about is answered all the same.
+            // A failure of the decision module must not leave the request of this event without an answer.
             counters.add(Count.DECISION_FAILURES);
             log.accept("decision failed on " + event.getClass().getSimpleName() + ": " + shortStackTrace(e));
             if (event instanceof Request r) {
@@ -282,11 +285,11 @@
         }
         long now = time.now();
         boolean concurrencyAllowed = limits.secondCopies()
-                || Invariant.check(open.attemptsInFlight == 0, "no two attempts of one request are out together");
+                || Invariant.check(open.attemptsInFlight == 0, "attempts of one request must not overlap");
         int attempt = open.attemptCount++;
         open.attemptsInFlight++;
         if (open.attemptsInFlight == 1 && !open.done && !listFresh.getAsBoolean()) {
-            // Answered now: each further attempt would be turned away like this one.
+            // Answered at once, since no further attempt could be sent either.
             answerRequest(
                     action.request(),
                     open.firstPossibleRunMicros == Long.MAX_VALUE ? new Answer.BackOff(0) : new Answer.Failed());
@@ -314,8 +317,8 @@
     }
 
     /**
-     * Whether an attempt may still begin, asked as its bytes are about to leave. Danger: between the order and that moment,
-     * while it waits for a connection, its client may leave, or the time end for which a repeat does no harm.
+     * Returns whether an attempt may still be sent, checked right before it is written. While it waits for a connection, its
+     * client may disconnect, the list may become stale, or the window may end in which hosts drop duplicates.
      */
     private boolean mayStart(OpenRequest open) {
         RequestClass requestClass = classesByName.get(open.request.requestClass());
--- a/balancer/src/test/java/baymoor/dispatch/DispatcherTest.java
+++ b/balancer/src/test/java/baymoor/dispatch/DispatcherTest.java
@@ -46,7 +46,7 @@
     private final Dispatcher dispatcher;
     private final North north;
 
-    /** What the decisions would order on hearing an event. */
+    /** The decision module's actions on an event. */
     private interface DecisionStub {
         void decide(Event event, Sink sink);
     }
@@ -184,12 +184,12 @@
         assertEquals("[0 NOT_SENT done]", attemptEnds());
         client.in(GET.replace("i\r", "j\r"));
         assertEquals(
-                "what it sent before is not taken up",
+                "commands read after the close are not accepted",
                 1,
                 delivered.stream().filter(e -> e instanceof Request).count());
     }
 
-    /** Danger: while the client's end is queued, the decisions would use up all attempts and refuse, to nobody. */
+    /** Guards against attempts and a refusal for a client that has closed, while its close event is still queued. */
     @Test
     public void requestOfAClosedConnectionIsDoneBeforeItsAttemptEndsThoughTheCloseEventIsPending() {
         stub = (event, sink) -> {
@@ -219,7 +219,7 @@
                         .toList());
     }
 
-    /** Danger: the repeat waits for a connection, and begins when the servers drop no second copy any more. */
+    /** Guards against a repeat that waits for a connection and is sent after the hosts' deduplication window. */
     @Test
     public void repeatIsSentOnlyWhileTheEffectOfTheClassAllowsIt() {
         stub = (event, sink) -> {
@@ -254,14 +254,14 @@
     @Test
     public void exceptionInTheDecisionsIsAnsweredCountedAndSurvived() {
         stub = (event, sink) -> {
-            throw new IllegalStateException("a test's own");
+            throw new IllegalStateException("thrown by the test");
         };
         client.in(GET);
         assertEquals("-ERR failed\r\n", client.takeOut());
         dispatcher.accept(new SetTimer(7, 1000));
         time.pass(200_000);
         assertTrue(
-                "the timer comes again",
+                "the timer is set again",
                 delivered.stream().filter(e -> e instanceof TimerFired).count() > 2);
         assertTrue(counters.get(Count.DECISION_FAILURES) > 2);
     }
@@ -272,11 +272,11 @@
         client.in(GET);
         assertEquals("-BUSY\r\n", client.takeOut());
         time.pass(2_000_000);
-        assertEquals("the decisions never hear of it", List.of(), delivered);
+        assertEquals("the decision module gets no event", List.of(), delivered);
         assertEquals(1, counters.get(Count.REFUSED));
     }
 
-    /** Danger: each further attempt would be turned away as well, and the client wait for nothing. */
+    /** Guards against retries that can't be sent either, while the client waits. */
     @Test
     public void attemptOrderedWhileTheListIsStaleEndsTheRequest() {
         boolean[] listFresh = {true};
