--- a/balancer/src/main/java/baymoor/south/Attempt.java
+++ b/balancer/src/main/java/baymoor/south/Attempt.java
@@ -3,7 +3,7 @@
 import baymoor.link.Time;
 import java.util.function.BooleanSupplier;
 
-/** One attempt to have a request answered by one host, or a probe of it. */
+/** One attempt to have a request answered by one host, or a probe of that host. */
 final class Attempt {
     final String requestId;
     final int number;
@@ -17,8 +17,9 @@
     boolean ended;
 
     /**
-     * @param content null for a probe
-     * @param stillAllowed whether the request still needs this attempt, asked right before it is sent
+     * @param requestId    null for a probe
+     * @param content      null for a probe
+     * @param stillAllowed whether the attempt may still be sent, asked right before it is written
      */
     Attempt(
             String requestId,
--- a/balancer/src/main/java/baymoor/south/Host.java
+++ b/balancer/src/main/java/baymoor/south/Host.java
@@ -4,11 +4,11 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** A router or the origin, with its idle connections and the attempts that wait for one. */
+/** A router or the origin, with its idle connections and the attempts that wait for a connection. */
 final class Host {
     final long id;
     InetSocketAddress address;
-    /** Idle connections, the most recently used one last. That one is reused first, so that surplus connections time out. */
+    /** Idle connections, the most recently used last. The last is reused first, so that unneeded ones reach their time-out. */
     final Deque<HostConnection> idleConnections = new ArrayDeque<>();
 
     final Deque<Attempt> queued = new ArrayDeque<>();
@@ -20,7 +20,7 @@
         this.south = south;
     }
 
-    /** Adds a connection to the idle ones. */
+    /** Adds a connection to the idle ones and lets a waiting attempt use it. */
     void addIdleConnection(HostConnection connection) {
         connection.idleSinceMicros = south.time.now();
         idleConnections.addLast(connection);
@@ -28,7 +28,7 @@
         south.scheduleAssignment();
     }
 
-    /** Removes and returns the most recently used idle connection that can be reused, or null. */
+    /** Removes and returns the most recently used idle connection that is reusable, or null; closes those that are not. */
     HostConnection takeIdleConnection() {
         HostConnection connection = idleConnections.pollLast();
         while (connection != null && !connection.reusable()) {
@@ -39,7 +39,7 @@
         return connection;
     }
 
-    /** Removes a connection from the idle ones, if it is one of them. */
+    /** Removes a connection from the idle ones, if it is there. */
     void removeIdleConnection(HostConnection connection) {
         idleConnections.remove(connection);
         updateIdleHosts();
--- a/balancer/src/main/java/baymoor/south/HostConnection.java
+++ b/balancer/src/main/java/baymoor/south/HostConnection.java
@@ -14,10 +14,9 @@
 final class HostConnection implements LinkEvents {
 
     /**
-     * How long a connection stays unused after an answer. Routers have been observed to send an answer twice, the second copy up
-     * to 9.5 ms after the first (40 cases, two of them more than 5 ms). On a connection that is reused at once that copy would be
-     * read as the answer to the next attempt. Twice the longest delay is waited for, and bytes that arrive in that time close the
-     * connection. An answer takes about ten times as long, so few additional connections are needed.
+     * How long a connection stays unused after an answer. A router may send an answer twice, the copy some milliseconds after
+     * the first; on a connection that is reused at once it would be read as the answer to the next attempt. Bytes that arrive
+     * in this time close the connection.
      */
     private static final long QUIET_MICROS = 20_000;
 
@@ -49,9 +48,9 @@
     }
 
     /**
-     * Whether the connection can carry another attempt: no bytes have arrived since the last answer, and the host has not closed
-     * it. Both are asked of the link, since its events may not have been delivered yet: a second copy of the last answer that
-     * waits there would be read as the answer to the next attempt.
+     * Returns whether the connection can carry another attempt: no bytes have arrived since the last answer, and the host has
+     * not closed it. The link is asked, since its events may still be queued: a duplicate of the last answer would be read as
+     * the answer to the next attempt.
      */
     boolean reusable() {
         return !link.unread() && !link.over();
@@ -81,8 +80,8 @@
     }
 
     /**
-     * Ends the attempt by closing its connection. The outcome is reported only once the connection is closed: if it were
-     * reported at once, the next attempt could be sent while this one can still reach the host.
+     * Ends the attempt by closing its connection. The outcome is reported once the connection is closed: until then this
+     * attempt may still reach the host, and the next one must not be sent.
      */
     void abort(Outcome outcome) {
         abortOutcome = outcome;
@@ -114,7 +113,7 @@
             return;
         }
         if (attempt == null) {
-            // Bytes that no attempt waits for must never be read as the answer to the next one.
+            // Unsolicited bytes must never be read as the answer to the next attempt.
             south.counters.add(Count.ANSWERS_UNASKED);
             close();
             return;
@@ -171,9 +170,9 @@
             Reply finalReply = abortOutcome == null ? codec.end() : null;
             Attempt interrupted = attempt;
             attempt = null;
-            // The host may have run the request only if its last byte was written; otherwise it is NOT_CONNECTED.
-            // This is decided here and not when the time-out fired: the last byte may be written while the
-            // connection is being closed, and the event for it is always delivered before this one.
+            // The host can have run the request only if its last byte was written; otherwise it is NOT_CONNECTED.
+            // This is decided here and not when the time-out fires, since the last byte may be written while the
+            // connection is being closed; the event for it is always delivered before this one.
             Outcome outcome = abortOutcome == null ? Outcome.RESET : abortOutcome;
             south.endAttempt(
                     interrupted,
--- a/balancer/src/main/java/baymoor/south/South.java
+++ b/balancer/src/main/java/baymoor/south/South.java
@@ -17,20 +17,23 @@
 import merlinstep.Decisions.Outcome;
 import merlinstep.Decisions.State;
 
-/** The south side: sends attempts to hosts, bounds their connections and time, and reports how each of them ended. */
+/**
+ * The south side: sends attempts to hosts within limits of connections and time, and reports how each of them ended. Not
+ * thread-safe: called on the decision thread only.
+ */
 public final class South {
 
-    /** Is told how attempts and probes ended; never from within a call to a method of this class. */
+    /** Receives the ends of attempts and probes, never from within a call to a method of this class. */
     public interface Listener {
-        /** An attempt has ended, and nothing of it can reach the host any more. */
+        /** Called when an attempt has ended and can't reach the host any more. */
         void attemptEnded(String requestId, int attempt, long host, Reply reply, long latencyMicros);
 
-        /** A probe has ended. */
+        /** Called when a probe has ended. */
         void probeEnded(long host, Reply reply, long latencyMicros);
     }
 
     private static final long SWEEP_INTERVAL_MICROS = 1_000_000;
-    /** An idle connection is closed this long before the host may close it, since a request could cross the host's close. */
+    /** How long before the host's idle time-out a connection is closed, so that no request crosses the host's close. */
     private static final long IDLE_CLOSE_MARGIN_MICROS = 3_000_000;
 
     private static final long PROBE_TIMEOUT_MICROS = 400_000;
@@ -42,8 +45,8 @@
     final Counters counters;
     final long connectTimeoutMicros;
     /**
-     * An answer that has begun and then pauses for this long fails: hosts have been observed to announce more bytes than they
-     * send. The aims of requests are little longer than the connect time-out, so a part of it leaves time for another attempt.
+     * An answer that has begun and then pauses for this long fails, since a host may announce more bytes than it sends. A
+     * fraction of the connect time-out, so that time is left for another attempt.
      */
     final long stallTimeoutMicros;
 
@@ -55,7 +58,7 @@
     private final int maxConnections;
     private final Map<Long, Host> hosts = new LinkedHashMap<>();
     private final Map<String, Attempt> attempts = new HashMap<>();
-    /** Hosts with attempts that wait for a connection; kept apart, as a fleet may have a thousand hosts without any. */
+    /** Hosts with attempts that wait for a connection; a separate set, since most hosts of a large fleet have none. */
     private final Set<Host> hostsWithQueuedAttempts = new LinkedHashSet<>();
     /** Hosts with idle connections. */
     final Set<Host> hostsWithIdleConnections = new LinkedHashSet<>();
@@ -64,8 +67,12 @@
     int connectionCount;
 
     /**
-     * @param originKind the kind in the inventory that marks the origin, or null
-     * @param maxConnections bound of all connections together
+     * Creates the south side without connections.
+     *
+     * @param inventory      finds a host by its id, null if unknown
+     * @param originKind     the kind that marks the origin in the inventory, or null
+     * @param reportFields   names of the values of a load report, empty without load reports
+     * @param maxConnections limit of open connections to all hosts together
      */
     public South(
             Dialer dialer,
@@ -96,7 +103,7 @@
     /**
      * Starts an attempt. Its end is always reported to the listener, also if it can't be sent.
      *
-     * @param stillAllowed whether the attempt may still begin, asked right before it is written, which may be much later
+     * @param stillAllowed whether the attempt may still be sent, asked right before it is written, which may be much later
      */
     public void send(
             String requestId,
@@ -112,14 +119,14 @@
         start(attempt);
     }
 
-    /** Asks a host for its load report, or for a sign of life. */
+    /** Requests a host's load report, or pings it if it reports no load. The end is reported to the listener. */
     public void probe(long hostId) {
         counters.add(Count.PROBES);
         start(new Attempt(null, 0, host(hostId), null, time.now(), time.now() + PROBE_TIMEOUT_MICROS, () -> true));
     }
 
     private void start(Attempt attempt) {
-        if (attempt.host.address == null) { // no list has named it
+        if (attempt.host.address == null) { // the host is not in the inventory
             time.after(0, () -> endAttempt(attempt, Reply.withoutAnswer(Outcome.NOT_SENT)));
             return;
         }
@@ -137,7 +144,7 @@
         }
     }
 
-    /** Removes an attempt from the queue for a connection; one that has been written goes on. */
+    /** Removes an attempt from the queue for a connection. One that has a connection goes on. */
     public void withdraw(String requestId, int attemptNumber) {
         Attempt attempt = attempts.get(attemptKey(requestId, attemptNumber));
         if (attempt != null && attempt.host.queued.remove(attempt)) {
@@ -153,7 +160,7 @@
         }
     }
 
-    /** The inventory has changed: closes idle connections to hosts that take no new requests. */
+    /** Handles a change of the inventory: closes idle connections to hosts that accept no new requests. */
     public void inventoryChanged() {
         for (Host host : hosts.values()) {
             if (!acceptsRequests(host)) {
@@ -167,7 +174,7 @@
         return entry != null && entry.state() == State.RUNNING;
     }
 
-    /** Whether a host has attempts that are sent or queued, or open connections. */
+    /** Returns whether a host may still have queued or sent attempts, or open connections. */
     public boolean inUse(long hostId) {
         return hosts.containsKey(hostId);
     }
@@ -197,12 +204,12 @@
         return host;
     }
 
-    /** Whether an attempt may still be sent: its request needs it, its host takes requests, and its deadline has not passed. */
+    /** Returns whether an attempt may still be sent: its sender allows it, its host runs, and its deadline has not passed. */
     boolean maySend(Attempt attempt) {
         return attempt.stillAllowed() && acceptsRequests(attempt.host) && time.now() < attempt.deadlineMicros;
     }
 
-    /** Assigns connections to the attempts that wait for a host: idle ones first, then new ones within the bound. */
+    /** Assigns connections to a host's queued attempts: idle ones first, then new ones within the limit. */
     private void assignConnections(Host host) {
         while (!host.queued.isEmpty()) {
             HostConnection connection = host.takeIdleConnection();
@@ -223,8 +230,10 @@
     }
 
     /**
-     * Makes room for a connection by closing an idle one of another host. Until that close has completed the bound is exceeded;
-     * by how much is limited, as a thousand hosts once held as many surplus connections, far more than there are descriptors.
+     * Closes an idle connection of another host to make room for a new one.
+     *
+     * @return whether a new connection may be opened. Until the close has completed, the limit is exceeded, at most by
+     *     {@link #MAX_EXCESS_CONNECTIONS}, since file descriptors are bounded
      */
     private boolean closeIdleOfAnotherHost(Host requester) {
         for (Host host : hostsWithIdleConnections) {
@@ -236,7 +245,7 @@
         return false;
     }
 
-    /** Assigns connections to all waiting attempts, after the current event has been handled. */
+    /** Schedules the assignment of connections to all queued attempts, after the current event has been handled. */
     void scheduleAssignment() {
         if (!assignmentScheduled && !hostsWithQueuedAttempts.isEmpty()) {
             assignmentScheduled = true;
