--- a/balancer/src/main/java/baymoor/south/Codec.java
+++ b/balancer/src/main/java/baymoor/south/Codec.java
@@ -1,6 +1,6 @@
 package baymoor.south;
 
-/** Encodes requests to a host and decodes its answers. One instance serves one connection, one request at a time. */
+/** Encodes requests to a host and decodes its answers. One instance per connection, for one request at a time. */
 interface Codec {
 
     /**
@@ -10,12 +10,20 @@
      */
     byte[] request(RequestContent content, long waitMillis);
 
-    /** A request for the load report, or a ping where the host gives none. */
+    /** Encodes a request for the load report, or a ping if the host reports no load. */
     byte[] probe();
 
-    /** Decodes more bytes: the reply once it is complete, else null. Malformed bytes give an ERROR that is not reusable. */
+    /**
+     * Decodes more bytes of the answer.
+     *
+     * @return the reply once it is complete, else null; for malformed bytes an ERROR whose connection is not reusable
+     */
     Reply feed(byte[] bytes);
 
-    /** Handles the end of the connection: a reply that the end completes, else null. */
+    /**
+     * Handles the end of the connection.
+     *
+     * @return the reply if the end completes it, else null
+     */
     Reply end();
 }
--- a/balancer/src/main/java/baymoor/south/LoadReport.java
+++ b/balancer/src/main/java/baymoor/south/LoadReport.java
@@ -4,13 +4,20 @@
 import org.json.JSONException;
 import org.json.JSONObject;
 
-/** Parses a load report, a JSON object or a list of {@code name=value}, into the order given by the settings. */
+/** Parser of a load report: a JSON object, or a list of {@code name=value} separated by commas. */
 final class LoadReport {
 
     private static final double[] NO_REPORT = new double[0];
 
     private LoadReport() {}
 
+    /**
+     * Parses a load report.
+     *
+     * @param text   may be null
+     * @param fields names of the values to return
+     * @return the values in the order of {@code fields}, 0 for a missing one; empty if there is no valid report
+     */
     static double[] parse(String text, List<String> fields) {
         if (text == null || text.isBlank() || fields.isEmpty()) {
             return NO_REPORT;
--- a/balancer/src/main/java/baymoor/south/OriginCodec.java
+++ b/balancer/src/main/java/baymoor/south/OriginCodec.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import merlinstep.Decisions.Outcome;
 
-/** Speaks HTTP/1.1 with the origin. */
+/** Codec of HTTP/1.1 for the origin. */
 final class OriginCodec implements Codec {
 
     private static final int MAX_BODY_BYTES = 64 * 1024;
@@ -27,7 +27,7 @@
 
     @Override
     public byte[] request(RequestContent content, long waitMillis) {
-        // A fixed order: that of Map.of differs from one JVM to the next, and the bytes sent should not.
+        // In insertion order, so that the bytes sent are reproducible; the order of Map.of varies between JVMs.
         Map<String, String> headers = new LinkedHashMap<>();
         headers.put("X-Correlation-Id", content.id());
         headers.put("X-Facts", content.encodeFacts(waitMillis));
@@ -61,8 +61,8 @@
         reader = new ResponseReader(MAX_BODY_BYTES);
         boolean unprocessed = "1".equals(response.header("x-unprocessed"))
                 && (response.status() == SERVICE_UNAVAILABLE || response.status() == GATEWAY_TIMEOUT);
-        // Without that header a 503 may have run, like a 500.
-        // A 200 without a stated length can't be distinguished from one that was cut short.
+        // Without that header the origin may have run the request, as with a 500.
+        // A 200 without a length can't be distinguished from a truncated one.
         Outcome outcome = response.status() == OK && response.sized()
                 ? Outcome.SERVED
                 : unprocessed ? Outcome.FULL : Outcome.ERROR;
--- a/balancer/src/main/java/baymoor/south/Reply.java
+++ b/balancer/src/main/java/baymoor/south/Reply.java
@@ -3,10 +3,10 @@
 import merlinstep.Decisions.Outcome;
 
 /**
- * How an attempt ended.
+ * The end of an attempt or a probe.
  *
- * @param value    the value or receipt, null without one
- * @param note     1 for a cache hit, 2 for a miss, 3 for a miss on a key that is being fetched, 0 if the host did not say
+ * @param value    the value read or the receipt of a write, null without one
+ * @param note     1 for a cache hit, 2 for a miss, 3 for a miss on a key that is being fetched, 0 if unknown
  * @param report   the host's load report, in the order of the settings; empty without one
  * @param reusable whether the connection may carry another attempt
  */
@@ -14,7 +14,7 @@
 
     private static final double[] NO_REPORT = new double[0];
 
-    /** The reply of an attempt that ended without an answer. */
+    /** Returns the reply of an attempt that ended without a usable answer. */
     static Reply withoutAnswer(Outcome outcome) {
         return new Reply(outcome, null, 0, NO_REPORT, false);
     }
--- a/balancer/src/main/java/baymoor/south/RequestContent.java
+++ b/balancer/src/main/java/baymoor/south/RequestContent.java
@@ -5,9 +5,9 @@
 import java.util.stream.Collectors;
 
 /**
- * What an attempt sends to its host.
+ * The request that an attempt sends to its host.
  *
- * @param id    the id that the client chose
+ * @param id    the request id chosen by the client
  * @param facts names and values of the request, in the order in which the client sent them
  * @param value the value of a write, null for a read
  */
@@ -16,8 +16,8 @@
     private static final String DEADLINE_FACT = "d";
 
     /**
-     * The facts as they are sent to routers and the origin alike: in the client's order, with the client's deadline replaced by
-     * the time that this attempt is waited for, since part of the deadline has passed by now.
+     * Encodes the facts for routers and the origin: in the client's order, with the client's deadline replaced by the time left
+     * for this attempt.
      *
      * @param waitMillis how long the balancer will wait for the answer, in milliseconds
      */
--- a/balancer/src/main/java/baymoor/south/RouterCodec.java
+++ b/balancer/src/main/java/baymoor/south/RouterCodec.java
@@ -10,8 +10,8 @@
 import merlinstep.Decisions.Outcome;
 
 /**
- * Speaks RESP2 with a router. Only the exact shape of an answer counts as one: seen were answers spoilt on their way,
- * such as a bare line or a shorter array, and passing one of these on loses the request.
+ * Codec of RESP2 for a router. An answer must have the exact shape of the protocol, as answers may be corrupted on the way,
+ * to a simple string or a shorter array for example; anything else is an ERROR.
  */
 final class RouterCodec implements Codec {
 
@@ -68,7 +68,7 @@
         return reply == null ? Reply.withoutAnswer(Outcome.ERROR) : reply;
     }
 
-    /** Reads a value or receipt, a hit or miss and a load report; null if the answer has any other shape. */
+    /** Decodes a value or receipt, the cache status and a load report; null if the answer has any other shape. */
     private Reply attemptReply(Resp answer, boolean fullyConsumed) {
         if (!(answer instanceof Resp.Many many)
                 || many.items() == null
@@ -92,7 +92,7 @@
                 value.bytes() == null ? Outcome.MISS : Outcome.SERVED, value.bytes(), note, report, fullyConsumed);
     }
 
-    /** Reads the answer to a ping or a load report; null if the answer has any other shape. */
+    /** Decodes a load report or the answer to a ping; null if the answer has any other shape. */
     private Reply probeReply(Resp answer, boolean fullyConsumed) {
         if (answer instanceof Resp.Bulk bulk && bulk.bytes() != null && !reportFields.isEmpty()) {
             return new Reply(Outcome.SERVED, null, 0, LoadReport.parse(text(bulk), reportFields), fullyConsumed);
