--- a/balancer/src/test/java/baymoor/south/SouthTest.java
+++ b/balancer/src/test/java/baymoor/south/SouthTest.java
@@ -88,7 +88,7 @@
         return link;
     }
 
-    /** An answered connection rests for a moment before it may carry the next attempt. */
+    /** Passes the time for which a connection stays unused after an answer. */
     private void passQuietPeriod() {
         time.pass(20_000);
     }
@@ -105,7 +105,7 @@
         FakeLink link = send("r", ROUTER, null);
         disallowed.add("r");
         south.withdraw("r", 0);
-        assertEquals("its connection is not up, and may serve another", "", takeEnds());
+        assertEquals("its connection is still opening and may carry another attempt", "", takeEnds());
         link.events.opened();
         assertEquals("", link.takeOut());
         assertEquals("r NOT_SENT", takeEnds());
@@ -115,10 +115,10 @@
         south.withdraw("s", 0);
         link.events.written();
         link.in(ANSWER);
-        assertEquals("what has begun ends by itself", "s SERVED v", takeEnds());
+        assertEquals("an attempt that has been written goes on", "s SERVED v", takeEnds());
     }
 
-    /** Seen: 1134 of 1517 further attempts at an origin told it the client's whole deadline, most of which had passed. */
+    /** Guards against sending the client's whole deadline with a later attempt, when part of it has passed. */
     @Test
     public void attemptSendsTheRemainingTimeToRouterAndOrigin() {
         for (long host : new long[] {ROUTER, ORIGIN}) {
@@ -135,12 +135,12 @@
             time.pass(200_000);
             link.events.opened();
             String written = link.takeOut();
-            assertTrue("the wait for a connection is over by now: " + written, written.contains("d=600"));
+            assertTrue("the time spent waiting for the connection is deducted: " + written, written.contains("d=600"));
             assertFalse(written, written.contains("d=1400"));
         }
     }
 
-    /** Danger: what the driver has read already, and the decisions not heard of, would be the next attempt's answer. */
+    /** Guards against reading bytes that are still queued in the link as the answer to the next attempt. */
     @Test
     public void idleConnectionWithUnreadBytesOrClosedByTheHostIsNotReused() {
         for (int i = 0; i < 2; i++) {
@@ -157,7 +157,7 @@
             idle.events.closed();
             second.in(ANSWER.replace("v", "w"));
             assertEquals("b" + i + " SERVED w", takeEnds());
-            second.unread = true; // so that each round begins with a connection of its own
+            second.unread = true; // so that the next iteration opens a new connection
             passQuietPeriod();
             second.events.closed();
         }
@@ -326,7 +326,7 @@
         assertEquals("a SERVED v", takeEnds());
         time.pass(10_000);
         FakeLink other = send("b", ROUTER, null);
-        assertFalse("the connection of that answer still rests", other == null);
+        assertFalse("the connection is still in its quiet period", other == null);
         link.in(ANSWER);
         assertTrue(link.closed);
         other.events.opened();
@@ -341,7 +341,7 @@
         link.in(ANSWER);
         assertEquals("r SERVED v", takeEnds());
         FakeLink other = send("s", ROUTER, null);
-        assertTrue("the first still rests", other != null);
+        assertTrue("the first connection is still in its quiet period", other != null);
         link.unread = true;
         passQuietPeriod();
         assertTrue(link.closed);
@@ -379,9 +379,9 @@
         putHost(ROUTER, "two-core", State.GONE);
         inventory.put(3L, new Inventory.Entry(3, new InetSocketAddress("127.0.0.1", 1), "two-core", State.RUNNING));
         FakeLink next = send("s", 3, null);
-        assertTrue("a connection of its own", next != null);
+        assertTrue("a new connection is opened", next != null);
         time.pass(1_000_000);
-        assertTrue("its attempt is still out", south.inUse(ROUTER));
+        assertTrue("its attempt is still in flight", south.inUse(ROUTER));
         link.events.closed();
         time.pass(1_000_000);
         assertFalse(south.inUse(ROUTER));
@@ -405,7 +405,7 @@
         assertEquals("t NOT_CONNECTED; s TIMED_OUT", takeEnds());
     }
 
-    /** Found by reading while the emulator was written: a time-out may fall due between the last byte and the word of it. */
+    /** Guards against a race: the time-out fires between the write of the last byte and the event for it. */
     @Test
     public void attemptWhoseLastByteIsWrittenDuringItsTimeoutMayHaveRun() {
         FakeLink link = send("r", ORIGIN, new byte[] {1});
@@ -422,7 +422,7 @@
         assertEquals("s NOT_CONNECTED", takeEnds());
     }
 
-    /** Found in the emulator: with a thousand hosts there were as many connections past the bound as hosts. */
+    /** Guards against exceeding the limit by one connection per host. */
     @Test
     public void connectionsToManyHostsExceedTheLimitByAFewAtMost() {
         south = south(20);
@@ -437,10 +437,10 @@
             }
         }
         long open = links.size() - links.stream().filter(l -> l.closed).count();
-        assertTrue(links.size() + " dialled", links.size() <= 20 + 16);
+        assertTrue(links.size() + " opened in total", links.size() <= 20 + 16);
         assertTrue(open + " open", open <= 20);
         links.stream().filter(l -> l.closed).toList().forEach(l -> l.events.closed());
         time.pass(0);
-        assertTrue("the closes made room", links.size() > 20 + 16);
+        assertTrue("completed closes make room for new connections", links.size() > 20 + 16);
     }
 }
