--- a/balancer/src/main/java/baymoor/dispatch/Dispatcher.java
+++ b/balancer/src/main/java/baymoor/dispatch/Dispatcher.java
@@ -76,7 +76,7 @@
     private final Counters counters;
     private final Consumer<String> log;
     private final Map<String, OpenRequest> requests = new HashMap<>();
-    private final Set<String> openClientIds = new HashSet<>();
+    private final Set<String> openClientRequestIds = new HashSet<>();
     private final Set<Long> timersSetByEvent = new HashSet<>();
     private North north;
     private South south;
@@ -115,19 +115,19 @@
 
     @Override
     public void taken(long ticket, ClientRequest request) {
-        String id = Long.toString(ticket);
-        requests.put(id, new OpenRequest(ticket, request));
-        openClientIds.add(request.id());
+        String requestId = Long.toString(ticket);
+        requests.put(requestId, new OpenRequest(ticket, request));
+        openClientRequestIds.add(request.id());
         if (!listFresh.getAsBoolean()) {
-            answerRequest(id, new Answer.BackOff(0));
+            answerRequest(requestId, new Answer.BackOff(0));
             return;
         }
         deliver(new Request(
-                id,
+                requestId,
                 request.requestClass(),
                 request.tenant(),
                 true,
-                key(request.key()),
+                keyNumber(request.key()),
                 request.deadlineMicros(),
                 request.workMicros(),
                 request.size(),
@@ -136,7 +136,7 @@
     }
 
     /** Returns the number that a key of up to 16 hexadecimal digits denotes, or a hash of any other key. */
-    private static long key(String key) {
+    private static long keyNumber(String key) {
         long hash = 0xcbf29ce484222325L;
         try {
             if (key.length() <= 16 && key.charAt(0) != '+' && key.charAt(0) != '-') {
@@ -152,8 +152,8 @@
     }
 
     @Override
-    public boolean open(String id) {
-        return openClientIds.contains(id);
+    public boolean open(String clientRequestId) {
+        return openClientRequestIds.contains(clientRequestId);
     }
 
     @Override
@@ -172,13 +172,13 @@
         open.done = true;
         if (open.attemptsInFlight == 0) {
             requests.remove(Long.toString(open.ticket));
-            openClientIds.remove(open.request.id());
+            openClientRequestIds.remove(open.request.id());
         }
     }
 
     @Override
-    public void attemptEnded(String request, int attempt, long host, Reply reply, long latencyMicros) {
-        OpenRequest open = requests.get(request);
+    public void attemptEnded(String requestId, int attempt, long host, Reply reply, long latencyMicros) {
+        OpenRequest open = requests.get(requestId);
         if (!Invariant.check(
                 open != null && open.attemptsInFlight > 0, "an attempt must end once, while its request is open")) {
             return;
@@ -195,7 +195,7 @@
             markDone(open);
         }
         deliver(new AttemptEnded(
-                request, attempt, host, reply.outcome(), latencyMicros, open.done, reply.note(), reply.report()));
+                requestId, attempt, host, reply.outcome(), latencyMicros, open.done, reply.note(), reply.report()));
     }
 
     @Override
@@ -241,11 +241,11 @@
         return text.toString();
     }
 
-    private void failRequest(String id) {
-        OpenRequest open = requests.get(id);
+    private void failRequest(String requestId) {
+        OpenRequest open = requests.get(requestId);
         if (open != null && !open.done && open.attemptsInFlight == 0) {
-            accept(new Fail(id));
-            time.after(0, () -> deliver(new RequestGone(id)));
+            accept(new Fail(requestId));
+            time.after(0, () -> deliver(new RequestGone(requestId)));
         }
     }
 
@@ -333,8 +333,8 @@
         return repeatAllowed && !open.done && north.waits(open.ticket) && listFresh.getAsBoolean();
     }
 
-    private void answerRequest(String id, Answer answer) {
-        OpenRequest open = requests.get(id);
+    private void answerRequest(String requestId, Answer answer) {
+        OpenRequest open = requests.get(requestId);
         if (open == null || open.done || !north.answer(open.ticket, answer)) {
             counters.add(Count.ACTIONS_IGNORED);
             return;
--- a/balancer/src/test/java/baymoor/dispatch/DispatcherTest.java
+++ b/balancer/src/test/java/baymoor/dispatch/DispatcherTest.java
@@ -36,7 +36,7 @@
 public class DispatcherTest {
 
     private static final String GET = "*4\r\n$7\r\nOBJ.GET\r\n$2\r\n0a\r\n$1\r\ni\r\n$12\r\nc=read,d=500\r\n";
-    private static final String HIT = "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n";
+    private static final String ANSWER = "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n";
 
     private final ManualTime time = new ManualTime();
     private final Counters counters = new Counters();
@@ -116,7 +116,7 @@
         client.in(GET);
         links.get(0).events.opened();
         links.get(0).events.written();
-        links.get(0).in(HIT);
+        links.get(0).in(ANSWER);
         assertEquals("$1\r\nv\r\n", client.takeOut());
         assertEquals("[0 SERVED done]", attemptEnds());
     }
@@ -233,13 +233,13 @@
             {"read", "250000", "begun"}, {"keyed", "150000", "begun"}, {"keyed", "250000", ""}, {"once", "0", ""}
         };
         for (String[] c : cases) {
-            int at = links.size();
+            int firstLink = links.size();
             client.in(GET.replace("12\r\nc=read", c[0].length() + 8 + "\r\nc=" + c[0]));
-            links.get(at).events.opened();
-            links.get(at).events.written();
-            links.get(at).events.closed();
+            links.get(firstLink).events.opened();
+            links.get(firstLink).events.written();
+            links.get(firstLink).events.closed();
             time.pass(Long.parseLong(c[1]) - 1);
-            FakeLink second = links.get(at + 1);
+            FakeLink second = links.get(firstLink + 1);
             second.events.opened();
             assertEquals(
                     c[0] + " after " + c[1], !c[2].isEmpty(), !second.takeOut().isEmpty());
--- a/balancer/src/test/java/baymoor/south/SouthTest.java
+++ b/balancer/src/test/java/baymoor/south/SouthTest.java
@@ -53,9 +53,10 @@
                 maxConnections,
                 new South.Listener() {
                     @Override
-                    public void attemptEnded(String request, int attempt, long host, Reply reply, long latencyMicros) {
+                    public void attemptEnded(
+                            String requestId, int attempt, long host, Reply reply, long latencyMicros) {
                         String value = reply.value() == null ? "" : " " + new String(reply.value());
-                        ends.add(request + " " + reply.outcome() + value);
+                        ends.add(requestId + " " + reply.outcome() + value);
                     }
 
                     @Override
