--- a/balancer/src/main/java/baymoor/dispatch/Dispatcher.java
+++ b/balancer/src/main/java/baymoor/dispatch/Dispatcher.java
@@ -75,9 +75,13 @@
     private final Time time;
     private final Counters counters;
     private final Consumer<String> log;
+    /** Requests by the id that the decision module knows them by: their ticket as text. */
     private final Map<String, OpenRequest> requests = new HashMap<>();
+    /** Request ids chosen by clients, of the requests in {@link #requests}. */
     private final Set<String> openClientRequestIds = new HashSet<>();
+    /** Tokens of the timers that the decision module has set while handling the current event. */
     private final Set<Long> timersSetByEvent = new HashSet<>();
+
     private North north;
     private South south;
     private Discovery discovery;
@@ -85,6 +89,7 @@
     /** Whether the server list is recent enough to send attempts by it. */
     private BooleanSupplier listFresh = () -> true;
 
+    /** Creates a dispatcher; {@link #connect} must be called before the first event. */
     public Dispatcher(
             Decisions decisions,
             Decisions.Limits limits,
--- a/balancer/src/test/java/baymoor/assembly/EveryFieldTest.java
+++ b/balancer/src/test/java/baymoor/assembly/EveryFieldTest.java
@@ -196,7 +196,7 @@
             {"max_retry_after", 0, "no retry-after"},
             {"drain_grace", 0, "no drain grace"},
             {"ask_within", 0, "no time to ask for the list"},
-            {"tip_multiple", 0, "cold caches with no origin capacity"},
+            {"tip_multiple", 0, "cold caches that are overloaded by any load"},
             {"tick", 0, "no tick"},
             {"cpu_us_per_s", 0, "no CPU limit"},
         };
--- a/balancer/src/test/java/baymoor/dispatch/DispatcherTest.java
+++ b/balancer/src/test/java/baymoor/dispatch/DispatcherTest.java
@@ -230,7 +230,7 @@
             }
         };
         String[][] cases = {
-            {"read", "250000", "begun"}, {"keyed", "150000", "begun"}, {"keyed", "250000", ""}, {"once", "0", ""}
+            {"read", "250000", "sent"}, {"keyed", "150000", "sent"}, {"keyed", "250000", ""}, {"once", "0", ""}
         };
         for (String[] c : cases) {
             int firstLink = links.size();
