--- a/balancer/src/main/java/baymoor/dispatch/Dispatcher.java
+++ b/balancer/src/main/java/baymoor/dispatch/Dispatcher.java
@@ -44,21 +44,24 @@
 import merlinstep.Decisions.TimerFired;
 import merlinstep.Decisions.WatchServers;
 
-/** Stands between the decisions and all else: hands them every event and carries out what they order, in order. */
+/**
+ * Passes every event to the decision module and carries out the actions that it returns, in order. Answers each request
+ * once. Not thread-safe: called on the decision thread only.
+ */
 public final class Dispatcher implements RequestHandler, South.Listener, Decisions.Sink {
 
-    /** Where the decisions fail on a timer, it comes again after this long, or their clockwork would stand still. */
-    private static final long TIMER_AGAIN_MICROS = 50_000;
+    /** Delay before a timer is set again whose handling has failed, so that periodic work goes on. */
+    private static final long TIMER_RETRY_MICROS = 50_000;
 
-    /** A request that the decisions know of, or one of whose attempts is still out. */
+    /** A request that is not done, or that has attempts in flight. */
     private static final class OpenRequest {
         final long ticket;
         final ClientRequest request;
-        int attempts;
-        int out;
+        int attemptCount;
+        int attemptsInFlight;
         boolean done;
-        /** When the first attempt that may have run was ordered. */
-        long ranMicros = Long.MAX_VALUE;
+        /** Start of the first attempt that its host may have run, {@code Long.MAX_VALUE} without one. */
+        long firstPossibleRunMicros = Long.MAX_VALUE;
 
         OpenRequest(long ticket, ClientRequest request) {
             this.ticket = ticket;
@@ -68,63 +71,68 @@
 
     private final Decisions decisions;
     private final Decisions.Limits limits;
-    private final Map<String, RequestClass> classes = new HashMap<>();
+    private final Map<String, RequestClass> classesByName = new HashMap<>();
     private final Time time;
     private final Counters counters;
     private final Consumer<String> log;
+    /** Requests by the id that the decision module knows them by: their ticket as text. */
     private final Map<String, OpenRequest> requests = new HashMap<>();
-    private final Set<String> ids = new HashSet<>();
-    private final Set<Long> timersSet = new HashSet<>();
+    /** Request ids chosen by clients, of the requests in {@link #requests}. */
+    private final Set<String> openClientRequestIds = new HashSet<>();
+    /** Tokens of the timers that the decision module has set while handling the current event. */
+    private final Set<Long> timersSetByEvent = new HashSet<>();
+
     private North north;
     private South south;
     private Discovery discovery;
     private Peers peers;
-    /** Whether the list held may still be used. */
-    private BooleanSupplier listCurrent = () -> true;
+    /** Whether the server list is recent enough to send attempts by it. */
+    private BooleanSupplier listFresh = () -> true;
 
+    /** Creates a dispatcher; {@link #connect} must be called before the first event. */
     public Dispatcher(
             Decisions decisions,
             Decisions.Limits limits,
-            List<RequestClass> kinds,
+            List<RequestClass> requestClasses,
             Time time,
             Counters counters,
             Consumer<String> log) {
         this.decisions = decisions;
         this.limits = limits;
-        kinds.forEach(kind -> classes.put(kind.name(), kind));
+        requestClasses.forEach(requestClass -> classesByName.put(requestClass.name(), requestClass));
         this.time = time;
         this.counters = counters;
         this.log = log;
     }
 
-    /** Names the parts that carry the actions out; they hear of this object before it can know of them. */
-    public void connect(North clients, South hosts, Discovery inventory, Peers others) {
-        north = clients;
-        south = hosts;
-        discovery = inventory;
-        peers = others;
+    /** Sets the components that carry out the actions. They take this object in their constructors, so it takes them here. */
+    public void connect(North north, South south, Discovery discovery, Peers peers) {
+        this.north = north;
+        this.south = south;
+        this.discovery = discovery;
+        this.peers = peers;
     }
 
-    /** Attempts begin only while this holds; requests are turned away at once meanwhile. */
-    public void beginOnlyWhile(BooleanSupplier condition) {
-        listCurrent = condition;
+    /** Sets the check whether the server list is fresh. While it is stale, no attempt is sent and new requests are refused. */
+    public void setListFreshnessCheck(BooleanSupplier listFresh) {
+        this.listFresh = listFresh;
     }
 
     @Override
     public void taken(long ticket, ClientRequest request) {
-        String id = Long.toString(ticket);
-        requests.put(id, new OpenRequest(ticket, request));
-        ids.add(request.id());
-        if (!listCurrent.getAsBoolean()) {
-            end(id, new Answer.BackOff(0));
+        String requestId = Long.toString(ticket);
+        requests.put(requestId, new OpenRequest(ticket, request));
+        openClientRequestIds.add(request.id());
+        if (!listFresh.getAsBoolean()) {
+            answerRequest(requestId, new Answer.BackOff(0));
             return;
         }
         deliver(new Request(
-                id,
+                requestId,
                 request.requestClass(),
                 request.tenant(),
                 true,
-                key(request.key()),
+                keyNumber(request.key()),
                 request.deadlineMicros(),
                 request.workMicros(),
                 request.size(),
@@ -132,8 +140,8 @@
                 request.write()));
     }
 
-    /** A key of up to 16 hex digits is the number it writes; any other one is hashed. */
-    private static long key(String key) {
+    /** Returns the number that a key of up to 16 hexadecimal digits denotes, or a hash of any other key. */
+    private static long keyNumber(String key) {
         long hash = 0xcbf29ce484222325L;
         try {
             if (key.length() <= 16 && key.charAt(0) != '+' && key.charAt(0) != '-') {
@@ -149,49 +157,50 @@
     }
 
     @Override
-    public boolean open(String id) {
-        return ids.contains(id);
+    public boolean open(String clientRequestId) {
+        return openClientRequestIds.contains(clientRequestId);
     }
 
     @Override
     public void gone(long ticket) {
         OpenRequest open = requests.get(Long.toString(ticket));
         if (open != null && !open.done) {
-            for (int attempt = 0; attempt < open.attempts; attempt++) {
+            for (int attempt = 0; attempt < open.attemptCount; attempt++) {
                 south.withdraw(Long.toString(ticket), attempt);
             }
-            finish(open);
+            markDone(open);
             deliver(new RequestGone(Long.toString(ticket)));
         }
     }
 
-    private void finish(OpenRequest open) {
+    private void markDone(OpenRequest open) {
         open.done = true;
-        if (open.out == 0) {
+        if (open.attemptsInFlight == 0) {
             requests.remove(Long.toString(open.ticket));
-            ids.remove(open.request.id());
+            openClientRequestIds.remove(open.request.id());
         }
     }
 
     @Override
-    public void attemptEnded(String request, int attempt, long host, Reply reply, long latencyMicros) {
-        OpenRequest open = requests.get(request);
-        if (!Invariant.check(open != null && open.out > 0, "an attempt ends once, before its request is forgotten")) {
+    public void attemptEnded(String requestId, int attempt, long host, Reply reply, long latencyMicros) {
+        OpenRequest open = requests.get(requestId);
+        if (!Invariant.check(
+                open != null && open.attemptsInFlight > 0, "an attempt must end once, while its request is open")) {
             return;
         }
-        open.out--;
+        open.attemptsInFlight--;
         if (!reply.outcome().provesNothingRan()) {
-            open.ranMicros = Math.min(open.ranMicros, time.now() - latencyMicros);
+            open.firstPossibleRunMicros = Math.min(open.firstPossibleRunMicros, time.now() - latencyMicros);
         }
         if (!open.done && reply.outcome() == Outcome.SERVED) {
             north.answer(open.ticket, new Answer.Served(reply.value()));
             open.done = true;
         }
         if (open.done) {
-            finish(open);
+            markDone(open);
         }
         deliver(new AttemptEnded(
-                request, attempt, host, reply.outcome(), latencyMicros, open.done, reply.note(), reply.report()));
+                requestId, attempt, host, reply.outcome(), latencyMicros, open.done, reply.note(), reply.report()));
     }
 
     @Override
@@ -199,37 +208,37 @@
         deliver(new Probed(host, reply.outcome(), latencyMicros, reply.report()));
     }
 
-    /** The inventory has changed, or a call for it has failed. */
+    /** Handles a change of the inventory, or a failed call for it. */
     public void listed(ServerList list) {
-        south.listed();
+        south.inventoryChanged();
         deliver(list);
     }
 
-    /** Another balancer has sent a message. */
+    /** Handles a message of another balancer. */
     public void heard(int from, byte[] content) {
         deliver(new PeerMessage(from, content));
     }
 
     private void deliver(Event event) {
         counters.add(Count.EVENTS);
-        timersSet.clear();
+        timersSetByEvent.clear();
         try {
             decisions.decide(time.now(), event, this);
         } catch (RuntimeException e) {
-            // The balancer outlives a failure of its decisions: what the event was about is answered all the same.
+            // A failure of the decision module must not leave the request of this event without an answer.
             counters.add(Count.DECISION_FAILURES);
-            log.accept("decision failed on " + event.getClass().getSimpleName() + ": " + trace(e));
+            log.accept("decision failed on " + event.getClass().getSimpleName() + ": " + shortStackTrace(e));
             if (event instanceof Request r) {
-                abandon(r.id());
+                failRequest(r.id());
             } else if (event instanceof AttemptEnded a) {
-                abandon(a.request());
-            } else if (event instanceof TimerFired t && !timersSet.contains(t.token())) {
-                accept(new SetTimer(t.token(), TIMER_AGAIN_MICROS));
+                failRequest(a.request());
+            } else if (event instanceof TimerFired t && !timersSetByEvent.contains(t.token())) {
+                accept(new SetTimer(t.token(), TIMER_RETRY_MICROS));
             }
         }
     }
 
-    private static String trace(RuntimeException e) {
+    private static String shortStackTrace(RuntimeException e) {
         StringBuilder text = new StringBuilder(e.toString());
         for (int i = 0; i < Math.min(5, e.getStackTrace().length); i++) {
             text.append(" at ").append(e.getStackTrace()[i]);
@@ -237,11 +246,11 @@
         return text.toString();
     }
 
-    private void abandon(String id) {
-        OpenRequest open = requests.get(id);
-        if (open != null && !open.done && open.out == 0) {
-            accept(new Fail(id));
-            time.after(0, () -> deliver(new RequestGone(id)));
+    private void failRequest(String requestId) {
+        OpenRequest open = requests.get(requestId);
+        if (open != null && !open.done && open.attemptsInFlight == 0) {
+            accept(new Fail(requestId));
+            time.after(0, () -> deliver(new RequestGone(requestId)));
         }
     }
 
@@ -250,12 +259,12 @@
         if (action instanceof Send a) {
             send(a);
         } else if (action instanceof SetTimer a) {
-            timersSet.add(a.token());
+            timersSetByEvent.add(a.token());
             time.after(Math.max(0, a.delayMicros()), () -> deliver(new TimerFired(a.token())));
         } else if (action instanceof Refuse a) {
-            end(a.request(), new Answer.BackOff(Math.max(0, a.retryAfterMicros())));
+            answerRequest(a.request(), new Answer.BackOff(Math.max(0, a.retryAfterMicros())));
         } else if (action instanceof Fail a) {
-            end(a.request(), new Answer.Failed());
+            answerRequest(a.request(), new Answer.Failed());
         } else if (action instanceof Cancel a) {
             south.cancel(a.request(), a.attempt());
         } else if (action instanceof TellPeer a) {
@@ -273,61 +282,68 @@
         }
     }
 
-    private void send(Send a) {
-        OpenRequest open = requests.get(a.request());
+    private void send(Send action) {
+        OpenRequest open = requests.get(action.request());
         if (open == null) {
             counters.add(Count.ACTIONS_IGNORED);
             return;
         }
         long now = time.now();
-        boolean alone = limits.secondCopies()
-                || Invariant.check(open.out == 0, "no two attempts of one request are out together");
-        int attempt = open.attempts++;
-        open.out++;
-        if (open.out == 1 && !open.done && !listCurrent.getAsBoolean()) {
-            // Answered now: each further attempt would be turned away like this one.
-            end(a.request(), open.ranMicros == Long.MAX_VALUE ? new Answer.BackOff(0) : new Answer.Failed());
+        boolean concurrencyAllowed = limits.secondCopies()
+                || Invariant.check(open.attemptsInFlight == 0, "attempts of one request must not overlap");
+        int attempt = open.attemptCount++;
+        open.attemptsInFlight++;
+        if (open.attemptsInFlight == 1 && !open.done && !listFresh.getAsBoolean()) {
+            // Answered at once, since no further attempt could be sent either.
+            answerRequest(
+                    action.request(),
+                    open.firstPossibleRunMicros == Long.MAX_VALUE ? new Answer.BackOff(0) : new Answer.Failed());
         }
-        if (open.done || !alone || attempt >= limits.maxAttempts() || now >= open.request.deadlineMicros()) {
-            Reply unsent = new Reply(Outcome.NOT_SENT, null, 0, new double[0], false);
-            time.after(0, () -> attemptEnded(a.request(), attempt, a.server(), unsent, 0));
+        if (open.done
+                || !concurrencyAllowed
+                || attempt >= limits.maxAttempts()
+                || now >= open.request.deadlineMicros()) {
+            Reply notSent = new Reply(Outcome.NOT_SENT, null, 0, new double[0], false);
+            time.after(0, () -> attemptEnded(action.request(), attempt, action.server(), notSent, 0));
             return;
         }
-        long most = open.request.deadlineMicros() - now;
-        long wait = a.timeoutMicros() == 0 ? most : Math.max(0, Math.min(most, a.timeoutMicros()));
+        long remainingMicros = open.request.deadlineMicros() - now;
+        long timeoutMicros = action.timeoutMicros() == 0
+                ? remainingMicros
+                : Math.max(0, Math.min(remainingMicros, action.timeoutMicros()));
         ClientRequest request = open.request;
         south.send(
-                a.request(),
+                action.request(),
                 attempt,
-                a.server(),
+                action.server(),
                 new RequestContent(request.key(), request.id(), request.facts(), request.value()),
-                now + wait,
-                () -> mayBegin(open));
+                now + timeoutMicros,
+                () -> mayStart(open));
     }
 
     /**
-     * Whether an attempt may still begin, asked as its bytes are about to leave. Danger: between the order and that moment,
-     * while it waits for a connection, its client may leave, or the time end for which a repeat does no harm.
+     * Returns whether an attempt may still be sent, checked right before it is written. While it waits for a connection, its
+     * client may disconnect, the list may become stale, or the window may end in which hosts drop duplicates.
      */
-    private boolean mayBegin(OpenRequest open) {
-        RequestClass kind = classes.get(open.request.requestClass());
-        boolean ran = open.ranMicros != Long.MAX_VALUE;
-        boolean harmless = !ran
-                || kind != null
-                        && switch (kind.effect()) {
+    private boolean mayStart(OpenRequest open) {
+        RequestClass requestClass = classesByName.get(open.request.requestClass());
+        boolean mayHaveRun = open.firstPossibleRunMicros != Long.MAX_VALUE;
+        boolean repeatAllowed = !mayHaveRun
+                || requestClass != null
+                        && switch (requestClass.effect()) {
                             case SAFE -> true;
-                            case KEYED -> time.now() < open.ranMicros + kind.windowMicros();
+                            case KEYED -> time.now() < open.firstPossibleRunMicros + requestClass.windowMicros();
                             case UNSAFE -> false;
                         };
-        return harmless && !open.done && north.waits(open.ticket) && listCurrent.getAsBoolean();
+        return repeatAllowed && !open.done && north.waits(open.ticket) && listFresh.getAsBoolean();
     }
 
-    private void end(String id, Answer answer) {
-        OpenRequest open = requests.get(id);
+    private void answerRequest(String requestId, Answer answer) {
+        OpenRequest open = requests.get(requestId);
         if (open == null || open.done || !north.answer(open.ticket, answer)) {
             counters.add(Count.ACTIONS_IGNORED);
             return;
         }
-        finish(open);
+        markDone(open);
     }
 }
--- a/balancer/src/main/java/baymoor/south/Attempt.java
+++ b/balancer/src/main/java/baymoor/south/Attempt.java
@@ -3,7 +3,7 @@
 import baymoor.link.Time;
 import java.util.function.BooleanSupplier;
 
-/** One attempt to have a request answered by one host, or a probe of it. */
+/** One attempt to have a request answered by one host, or a probe of that host. */
 final class Attempt {
     final String requestId;
     final int number;
@@ -11,14 +11,15 @@
     final RequestContent content;
     final long startedMicros;
     final long deadlineMicros;
-    private final BooleanSupplier wanted;
+    private final BooleanSupplier stillAllowed;
     Time.Timer timer;
     HostConnection connection;
     boolean ended;
 
     /**
-     * @param content null for a probe
-     * @param wanted  whether the request still needs this attempt, asked right before it is sent
+     * @param requestId    null for a probe
+     * @param content      null for a probe
+     * @param stillAllowed whether the attempt may still be sent, asked right before it is written
      */
     Attempt(
             String requestId,
@@ -27,8 +28,8 @@
             RequestContent content,
             long startedMicros,
             long deadlineMicros,
-            BooleanSupplier wanted) {
-        this.wanted = wanted;
+            BooleanSupplier stillAllowed) {
+        this.stillAllowed = stillAllowed;
         this.requestId = requestId;
         this.number = number;
         this.host = host;
@@ -37,11 +38,11 @@
         this.deadlineMicros = deadlineMicros;
     }
 
-    boolean wanted() {
-        return wanted.getAsBoolean();
+    boolean stillAllowed() {
+        return stillAllowed.getAsBoolean();
     }
 
-    boolean probe() {
+    boolean isProbe() {
         return content == null;
     }
 }
--- a/balancer/src/main/java/baymoor/south/Host.java
+++ b/balancer/src/main/java/baymoor/south/Host.java
@@ -4,14 +4,14 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** A router or the origin, with its idle connections and the attempts that wait for one. */
+/** A router or the origin, with its idle connections and the attempts that wait for a connection. */
 final class Host {
     final long id;
     InetSocketAddress address;
-    /** Idle connections, the most recently used one last. That one is reused first, so that surplus connections time out. */
-    final Deque<HostConnection> idle = new ArrayDeque<>();
+    /** Idle connections, the most recently used last. The last is reused first, so that unneeded ones reach their time-out. */
+    final Deque<HostConnection> idleConnections = new ArrayDeque<>();
 
-    final Deque<Attempt> waiting = new ArrayDeque<>();
+    final Deque<Attempt> queued = new ArrayDeque<>();
     int connectionCount;
     private final South south;
 
@@ -20,39 +20,39 @@
         this.south = south;
     }
 
-    /** Adds a connection to the idle ones. */
-    void release(HostConnection connection) {
+    /** Adds a connection to the idle ones and lets a waiting attempt use it. */
+    void addIdleConnection(HostConnection connection) {
         connection.idleSinceMicros = south.time.now();
-        idle.addLast(connection);
-        south.hostsWithIdle.add(this);
-        south.serveWaiting();
+        idleConnections.addLast(connection);
+        south.hostsWithIdleConnections.add(this);
+        south.scheduleAssignment();
     }
 
-    /** Removes and returns the most recently used idle connection that can be reused, or null. */
-    HostConnection takeIdle() {
-        HostConnection connection = idle.pollLast();
+    /** Removes and returns the most recently used idle connection that is reusable, or null; closes those that are not. */
+    HostConnection takeIdleConnection() {
+        HostConnection connection = idleConnections.pollLast();
         while (connection != null && !connection.reusable()) {
             connection.close();
-            connection = idle.pollLast();
+            connection = idleConnections.pollLast();
         }
-        rested();
+        updateIdleHosts();
         return connection;
     }
 
-    /** Removes a connection from the idle ones, if it is one of them. */
-    void dropIdle(HostConnection connection) {
-        idle.remove(connection);
-        rested();
+    /** Removes a connection from the idle ones, if it is there. */
+    void removeIdleConnection(HostConnection connection) {
+        idleConnections.remove(connection);
+        updateIdleHosts();
     }
 
-    private void rested() {
-        if (idle.isEmpty()) {
-            south.hostsWithIdle.remove(this);
+    private void updateIdleHosts() {
+        if (idleConnections.isEmpty()) {
+            south.hostsWithIdleConnections.remove(this);
         }
     }
 
-    void closeIdle() {
-        for (HostConnection connection : idle.toArray(new HostConnection[0])) {
+    void closeIdleConnections() {
+        for (HostConnection connection : idleConnections.toArray(new HostConnection[0])) {
             connection.close();
         }
     }
--- a/balancer/src/main/java/baymoor/south/HostConnection.java
+++ b/balancer/src/main/java/baymoor/south/HostConnection.java
@@ -14,12 +14,11 @@
 final class HostConnection implements LinkEvents {
 
     /**
-     * How long a connection stays unused after an answer. Routers have been observed to send an answer twice, the second copy up
-     * to 9.5 ms after the first (40 cases, two of them more than 5 ms). On a connection that is reused at once that copy would be
-     * read as the answer to the next attempt. Twice the longest delay is waited for, and bytes that arrive in that time close the
-     * connection. An answer takes about ten times as long, so few additional connections are needed.
+     * How long a connection stays unused after an answer. A router may send an answer twice, the copy some milliseconds after
+     * the first; on a connection that is reused at once it would be read as the answer to the next attempt. Bytes that arrive
+     * in this time close the connection.
      */
-    private static final long REST_MICROS = 20_000;
+    private static final long QUIET_MICROS = 20_000;
 
     private final South south;
     private final Host host;
@@ -44,45 +43,45 @@
 
     void dial() {
         // MINA checks connect time-outs only once a second, so the time-out is kept here.
-        connectTimer = south.time.after(south.connectMicros, this::close);
+        connectTimer = south.time.after(south.connectTimeoutMicros, this::close);
         link = south.dialer.dial(host.address, this);
     }
 
     /**
-     * Whether the connection can carry another attempt: no bytes have arrived since the last answer, and the host has not closed
-     * it. Both are asked of the link, since its events may not have been delivered yet: a second copy of the last answer that
-     * waits there would be read as the answer to the next attempt.
+     * Returns whether the connection can carry another attempt: no bytes have arrived since the last answer, and the host has
+     * not closed it. The link is asked, since its events may still be queued: a duplicate of the last answer would be read as
+     * the answer to the next attempt.
      */
     boolean reusable() {
         return !link.unread() && !link.over();
     }
 
     /** Starts an attempt on this idle connection. */
-    void assign(Attempt next) {
+    void assign(Attempt newAttempt) {
         Invariant.check(open && attempt == null && !closing, "a connection carries one attempt at a time");
-        attempt = next;
-        next.connection = this;
+        attempt = newAttempt;
+        newAttempt.connection = this;
         writeRequest();
     }
 
     private void writeRequest() {
         // Checked again right before writing: the host may have begun to drain while the attempt was queued.
-        if (!south.mayBegin(attempt)) {
+        if (!south.maySend(attempt)) {
             Attempt refused = attempt;
             attempt = null;
-            host.release(this);
-            south.time.after(0, () -> south.end(refused, Reply.without(Outcome.NOT_SENT)));
+            host.addIdleConnection(this);
+            south.time.after(0, () -> south.endAttempt(refused, Reply.withoutAnswer(Outcome.NOT_SENT)));
             return;
         }
         requestWritten = false;
         // Rounded down, so that the host is never given more time than this balancer waits.
         long waitMillis = Math.max(1, (attempt.deadlineMicros - south.time.now()) / 1000);
-        link.write(attempt.probe() ? codec.probe() : codec.request(attempt.content, waitMillis));
+        link.write(attempt.isProbe() ? codec.probe() : codec.request(attempt.content, waitMillis));
     }
 
     /**
-     * Ends the attempt by closing its connection. The outcome is reported only once the connection is closed: if it were
-     * reported at once, the next attempt could be sent while this one can still reach the host.
+     * Ends the attempt by closing its connection. The outcome is reported once the connection is closed: until then this
+     * attempt may still reach the host, and the next one must not be sent.
      */
     void abort(Outcome outcome) {
         abortOutcome = outcome;
@@ -92,7 +91,7 @@
     void close() {
         if (!closing) {
             closing = true;
-            host.dropIdle(this);
+            host.removeIdleConnection(this);
             link.close();
         }
     }
@@ -114,7 +113,7 @@
             return;
         }
         if (attempt == null) {
-            // Bytes that no attempt waits for must never be read as the answer to the next one.
+            // Unsolicited bytes must never be read as the answer to the next attempt.
             south.counters.add(Count.ANSWERS_UNASKED);
             close();
             return;
@@ -124,28 +123,28 @@
             stallTimer.cancel();
         }
         if (reply == null) {
-            stallTimer = south.time.after(south.stallMicros, this::stalled);
+            stallTimer = south.time.after(south.stallTimeoutMicros, this::abortStalled);
             return;
         }
         Attempt answered = attempt;
         attempt = null;
         if (reply.reusable() && requestWritten && reusable()) {
-            south.time.after(REST_MICROS, this::rested);
+            south.time.after(QUIET_MICROS, this::returnToIdle);
         } else {
             close();
         }
-        south.end(answered, reply);
+        south.endAttempt(answered, reply);
     }
 
-    private void rested() {
+    private void returnToIdle() {
         if (!closing && reusable()) {
-            host.release(this);
+            host.addIdleConnection(this);
         } else {
             close();
         }
     }
 
-    private void stalled() {
+    private void abortStalled() {
         if (!closing && attempt != null) {
             south.counters.add(Count.ANSWERS_STALLED);
             abort(Outcome.ERROR);
@@ -164,26 +163,26 @@
             stallTimer.cancel();
         }
         closing = true;
-        host.dropIdle(this);
+        host.removeIdleConnection(this);
         host.connectionCount--;
         south.connectionCount--;
         if (attempt != null) {
-            Reply end = abortOutcome == null ? codec.end() : null;
-            Attempt broken = attempt;
+            Reply finalReply = abortOutcome == null ? codec.end() : null;
+            Attempt interrupted = attempt;
             attempt = null;
-            // The host may have run the request only if its last byte was written; otherwise it is NOT_CONNECTED.
-            // This is decided here and not when the time-out fired: the last byte may be written while the
-            // connection is being closed, and the event for it is always delivered before this one.
-            Outcome broke = abortOutcome == null ? Outcome.RESET : abortOutcome;
-            south.end(
-                    broken,
-                    end != null
-                            ? end
-                            : Reply.without(
-                                    requestWritten || broke == Outcome.CANCELLED || broke == Outcome.ERROR
-                                            ? broke
+            // The host can have run the request only if its last byte was written; otherwise it is NOT_CONNECTED.
+            // This is decided here and not when the time-out fires, since the last byte may be written while the
+            // connection is being closed; the event for it is always delivered before this one.
+            Outcome outcome = abortOutcome == null ? Outcome.RESET : abortOutcome;
+            south.endAttempt(
+                    interrupted,
+                    finalReply != null
+                            ? finalReply
+                            : Reply.withoutAnswer(
+                                    requestWritten || outcome == Outcome.CANCELLED || outcome == Outcome.ERROR
+                                            ? outcome
                                             : Outcome.NOT_CONNECTED));
         }
-        south.serveWaiting();
+        south.scheduleAssignment();
     }
 }
--- a/balancer/src/test/java/baymoor/dispatch/DispatcherTest.java
+++ b/balancer/src/test/java/baymoor/dispatch/DispatcherTest.java
@@ -36,40 +36,40 @@
 public class DispatcherTest {
 
     private static final String GET = "*4\r\n$7\r\nOBJ.GET\r\n$2\r\n0a\r\n$1\r\ni\r\n$12\r\nc=read,d=500\r\n";
-    private static final String HIT = "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n";
+    private static final String ANSWER = "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n";
 
     private final ManualTime time = new ManualTime();
     private final Counters counters = new Counters();
-    private final List<Event> heard = new ArrayList<>();
+    private final List<Event> delivered = new ArrayList<>();
     private final List<FakeLink> links = new ArrayList<>();
     private final FakeLink client = new FakeLink();
     private final Dispatcher dispatcher;
-    private final North clients;
+    private final North north;
 
-    /** What the decisions would order on hearing an event. */
-    private interface Orders {
-        void on(Event event, Sink sink);
+    /** The decision module's actions on an event. */
+    private interface DecisionStub {
+        void decide(Event event, Sink sink);
     }
 
-    private Orders orders = (event, sink) -> {};
+    private DecisionStub stub = (event, sink) -> {};
 
     public DispatcherTest() {
         Limits limits = new Limits(2, 0, false, true, true, true, true, 0, 250_000, 30_000_000, 32, 0, 0);
         Decisions decisions = (now, event, sink) -> {
-            heard.add(event);
-            orders.on(event, sink);
+            delivered.add(event);
+            stub.decide(event, sink);
         };
         dispatcher = new Dispatcher(
                 decisions,
                 limits,
                 List.of(
-                        kind("read", Effect.SAFE, 0),
-                        kind("keyed", Effect.KEYED, 200_000),
-                        kind("once", Effect.UNSAFE, 0)),
+                        requestClass("read", Effect.SAFE, 0),
+                        requestClass("keyed", Effect.KEYED, 200_000),
+                        requestClass("once", Effect.UNSAFE, 0)),
                 time,
                 counters,
                 line -> {});
-        clients = new North(time, counters, Set.of("read", "keyed", "once"), dispatcher, 9, 9, 1 << 20, () -> "");
+        north = new North(time, counters, Set.of("read", "keyed", "once"), dispatcher, 9, 9, 1 << 20, () -> "");
         South south = new South(
                 (to, events) -> {
                     FakeLink link = new FakeLink();
@@ -88,17 +88,17 @@
                 9,
                 dispatcher);
         dispatcher.connect(
-                clients, south, null, new Peers(List.of(), null, null, (to, bytes) -> {}, counters, dispatcher::heard));
-        client.events = clients.client(client);
+                north, south, null, new Peers(List.of(), null, null, (to, bytes) -> {}, counters, dispatcher::heard));
+        client.events = north.client(client);
     }
 
-    private static RequestClass kind(String name, Effect effect, long windowMicros) {
+    private static RequestClass requestClass(String name, Effect effect, long windowMicros) {
         return new RequestClass(name, 500_000, 0, 900_000, effect, Group.ALL, windowMicros, 1, 0, false);
     }
 
-    private String ends() {
+    private String attemptEnds() {
         time.pass(0);
-        return heard.stream()
+        return delivered.stream()
                 .filter(e -> e instanceof AttemptEnded)
                 .map(e -> (AttemptEnded) e)
                 .map(e -> e.attempt() + " " + e.outcome() + (e.done() ? " done" : ""))
@@ -107,8 +107,8 @@
     }
 
     @Test
-    public void theFirstValueAnswersTheClientAndEndsTheRequest() {
-        orders = (event, sink) -> {
+    public void firstServedAttemptAnswersTheClientAndEndsTheRequest() {
+        stub = (event, sink) -> {
             if (event instanceof Request r) {
                 sink.accept(new Send(r.id(), 1, 0));
             }
@@ -116,19 +116,19 @@
         client.in(GET);
         links.get(0).events.opened();
         links.get(0).events.written();
-        links.get(0).in(HIT);
+        links.get(0).in(ANSWER);
         assertEquals("$1\r\nv\r\n", client.takeOut());
-        assertEquals("[0 SERVED done]", ends());
+        assertEquals("[0 SERVED done]", attemptEnds());
     }
 
     @Test
-    public void whatCannotBeSentEndsAsNotSentAfterTheEvent() {
-        orders = (event, sink) -> {
+    public void attemptThatCannotBeSentEndsAsNotSentAfterTheEvent() {
+        stub = (event, sink) -> {
             if (event instanceof Request r) {
                 sink.accept(new Send(r.id(), 9, 0));
                 assertEquals(
                         "[]",
-                        heard.stream()
+                        delivered.stream()
                                 .filter(e -> e instanceof AttemptEnded)
                                 .toList()
                                 .toString());
@@ -137,13 +137,13 @@
             }
         };
         client.in(GET);
-        assertEquals("[0 NOT_SENT, 1 NOT_SENT, 2 NOT_SENT]", ends());
+        assertEquals("[0 NOT_SENT, 1 NOT_SENT, 2 NOT_SENT]", attemptEnds());
         assertTrue(links.isEmpty());
     }
 
     @Test
-    public void aRequestIsAnsweredOnceWhateverIsOrdered() {
-        orders = (event, sink) -> {
+    public void requestIsAnsweredOnlyOnceWhateverTheActions() {
+        stub = (event, sink) -> {
             if (event instanceof Request r) {
                 sink.accept(new Refuse(r.id(), 0));
                 sink.accept(new Fail(r.id()));
@@ -157,8 +157,8 @@
     }
 
     @Test
-    public void whatWaitsForAConnectionWhenItsClientLeavesDoesNotBegin() {
-        orders = (event, sink) -> {
+    public void attemptQueuedForAConnectionIsNotSentAfterItsClientDisconnects() {
+        stub = (event, sink) -> {
             if (event instanceof Request r) {
                 sink.accept(new Send(r.id(), 1, 0));
             }
@@ -167,12 +167,12 @@
         client.events.closed();
         links.get(0).events.opened();
         assertEquals("", links.get(0).takeOut());
-        assertEquals("[0 NOT_SENT done]", ends());
+        assertEquals("[0 NOT_SENT done]", attemptEnds());
     }
 
     @Test
-    public void whatIsOrderedForAClientThatHasLeftDoesNotBeginThoughItsEndIsNotToldYet() {
-        orders = (event, sink) -> {
+    public void attemptIsNotSentWhenTheClientHasClosedButTheCloseEventIsPending() {
+        stub = (event, sink) -> {
             if (event instanceof Request r) {
                 client.over = true;
                 sink.accept(new Send(r.id(), 1, 0));
@@ -181,18 +181,18 @@
         client.in(GET);
         links.get(0).events.opened();
         assertEquals("", links.get(0).takeOut());
-        assertEquals("[0 NOT_SENT done]", ends());
+        assertEquals("[0 NOT_SENT done]", attemptEnds());
         client.in(GET.replace("i\r", "j\r"));
         assertEquals(
-                "what it sent before is not taken up",
+                "commands read after the close are not accepted",
                 1,
-                heard.stream().filter(e -> e instanceof Request).count());
+                delivered.stream().filter(e -> e instanceof Request).count());
     }
 
-    /** Danger: while the client's end is queued, the decisions would use up all attempts and refuse, to nobody. */
+    /** Guards against attempts and a refusal for a client that has closed, while its close event is still queued. */
     @Test
-    public void aClientFoundToHaveLeftIsGoneBeforeItsAttemptEndsThoughItsEndIsToldLater() {
-        orders = (event, sink) -> {
+    public void requestOfAClosedConnectionIsDoneBeforeItsAttemptEndsThoughTheCloseEventIsPending() {
+        stub = (event, sink) -> {
             if (event instanceof Request r) {
                 sink.accept(new Send(r.id(), 1, 0));
             } else if (event instanceof AttemptEnded e && !e.done()) {
@@ -204,7 +204,7 @@
         client.over = true;
         links.get(0).events.opened();
         links.get(1).events.opened();
-        assertEquals("[0 NOT_SENT done, 0 NOT_SENT done]", ends());
+        assertEquals("[0 NOT_SENT done, 0 NOT_SENT done]", attemptEnds());
         client.events.closed();
         time.pass(0);
         assertEquals("", links.get(0).takeOut() + links.get(1).takeOut() + client.takeOut());
@@ -213,16 +213,16 @@
         assertEquals(1, counters.get(Count.CLIENTS_CLOSED));
         assertEquals(
                 List.of(Request.class, Request.class, RequestGone.class, RequestGone.class),
-                heard.stream()
+                delivered.stream()
                         .filter(e -> !(e instanceof AttemptEnded))
                         .map(Object::getClass)
                         .toList());
     }
 
-    /** Danger: the repeat waits for a connection, and begins when the servers drop no second copy any more. */
+    /** Guards against a repeat that waits for a connection and is sent after the hosts' deduplication window. */
     @Test
-    public void aRepeatBeginsOnlyWhileItDoesNoHarm() {
-        orders = (event, sink) -> {
+    public void repeatIsSentOnlyWhileTheEffectOfTheClassAllowsIt() {
+        stub = (event, sink) -> {
             if (event instanceof Request r) {
                 sink.accept(new Send(r.id(), 1, 0));
             } else if (event instanceof AttemptEnded e && !e.done() && e.attempt() == 0) {
@@ -230,58 +230,58 @@
             }
         };
         String[][] cases = {
-            {"read", "250000", "begun"}, {"keyed", "150000", "begun"}, {"keyed", "250000", ""}, {"once", "0", ""}
+            {"read", "250000", "sent"}, {"keyed", "150000", "sent"}, {"keyed", "250000", ""}, {"once", "0", ""}
         };
         for (String[] c : cases) {
-            int at = links.size();
+            int firstLink = links.size();
             client.in(GET.replace("12\r\nc=read", c[0].length() + 8 + "\r\nc=" + c[0]));
-            links.get(at).events.opened();
-            links.get(at).events.written();
-            links.get(at).events.closed();
+            links.get(firstLink).events.opened();
+            links.get(firstLink).events.written();
+            links.get(firstLink).events.closed();
             time.pass(Long.parseLong(c[1]) - 1);
-            FakeLink second = links.get(at + 1);
+            FakeLink second = links.get(firstLink + 1);
             second.events.opened();
             assertEquals(
                     c[0] + " after " + c[1], !c[2].isEmpty(), !second.takeOut().isEmpty());
             second.events.written();
             second.events.closed();
             client.events.closed();
-            client.events = clients.client(client);
+            client.events = north.client(client);
             time.pass(0);
         }
     }
 
     @Test
-    public void aFailureOfTheDecisionsIsAnsweredCountedAndOutlived() {
-        orders = (event, sink) -> {
-            throw new IllegalStateException("a test's own");
+    public void exceptionInTheDecisionsIsAnsweredCountedAndSurvived() {
+        stub = (event, sink) -> {
+            throw new IllegalStateException("thrown by the test");
         };
         client.in(GET);
         assertEquals("-ERR failed\r\n", client.takeOut());
         dispatcher.accept(new SetTimer(7, 1000));
         time.pass(200_000);
         assertTrue(
-                "the timer comes again",
-                heard.stream().filter(e -> e instanceof TimerFired).count() > 2);
+                "the timer is set again",
+                delivered.stream().filter(e -> e instanceof TimerFired).count() > 2);
         assertTrue(counters.get(Count.DECISION_FAILURES) > 2);
     }
 
     @Test
-    public void whileTheListMayNotBeUsedARequestIsTurnedAwayAtOnce() {
-        dispatcher.beginOnlyWhile(() -> false);
+    public void requestIsRejectedAtOnceWhileTheListIsStale() {
+        dispatcher.setListFreshnessCheck(() -> false);
         client.in(GET);
         assertEquals("-BUSY\r\n", client.takeOut());
         time.pass(2_000_000);
-        assertEquals("the decisions never hear of it", List.of(), heard);
+        assertEquals("the decision module gets no event", List.of(), delivered);
         assertEquals(1, counters.get(Count.REFUSED));
     }
 
-    /** Danger: each further attempt would be turned away as well, and the client wait for nothing. */
+    /** Guards against retries that can't be sent either, while the client waits. */
     @Test
-    public void anAttemptThatIsOrderedWhileTheListMayNotBeUsedEndsTheRequest() {
-        boolean[] current = {true};
-        dispatcher.beginOnlyWhile(() -> current[0]);
-        orders = (event, sink) -> {
+    public void attemptOrderedWhileTheListIsStaleEndsTheRequest() {
+        boolean[] listFresh = {true};
+        dispatcher.setListFreshnessCheck(() -> listFresh[0]);
+        stub = (event, sink) -> {
             if (event instanceof Request r) {
                 sink.accept(new SetTimer(Long.parseLong(r.id()), 100_000));
             } else if (event instanceof TimerFired t) {
@@ -289,19 +289,19 @@
             }
         };
         client.in(GET);
-        current[0] = false;
+        listFresh[0] = false;
         time.pass(100_000);
         assertEquals("-BUSY\r\n", client.takeOut());
-        assertEquals("[0 NOT_SENT done]", ends());
+        assertEquals("[0 NOT_SENT done]", attemptEnds());
         assertTrue(links.isEmpty());
         assertEquals(0, counters.get(Count.ACTIONS_IGNORED));
     }
 
     @Test
-    public void whatMayHaveRunBeforeTheListBecameTooOldHasFailed() {
-        boolean[] current = {true};
-        dispatcher.beginOnlyWhile(() -> current[0]);
-        orders = (event, sink) -> {
+    public void requestThatMayHaveRunFailsOnceTheListIsStale() {
+        boolean[] listFresh = {true};
+        dispatcher.setListFreshnessCheck(() -> listFresh[0]);
+        stub = (event, sink) -> {
             if (event instanceof Request r) {
                 sink.accept(new Send(r.id(), 1, 0));
             } else if (event instanceof AttemptEnded e && !e.done()) {
@@ -311,28 +311,28 @@
         client.in(GET);
         links.get(0).events.opened();
         links.get(0).events.written();
-        current[0] = false;
+        listFresh[0] = false;
         links.get(0).events.closed();
         time.pass(0);
         String answer = client.takeOut();
         assertTrue(answer, answer.startsWith("-") && !answer.startsWith("-BUSY"));
-        assertEquals("[0 RESET, 1 NOT_SENT done]", ends());
+        assertEquals("[0 RESET, 1 NOT_SENT done]", attemptEnds());
         assertEquals(1, links.size());
     }
 
     @Test
-    public void anAttemptThatWaitedForAConnectionDoesNotBeginOnAListTooOld() {
-        boolean[] current = {true};
-        dispatcher.beginOnlyWhile(() -> current[0]);
-        orders = (event, sink) -> {
+    public void attemptQueuedForAConnectionIsNotSentOnceTheListIsStale() {
+        boolean[] listFresh = {true};
+        dispatcher.setListFreshnessCheck(() -> listFresh[0]);
+        stub = (event, sink) -> {
             if (event instanceof Request r) {
                 sink.accept(new Send(r.id(), 1, 0));
             }
         };
         client.in(GET);
-        current[0] = false;
+        listFresh[0] = false;
         links.get(0).events.opened();
         assertEquals("", links.get(0).takeOut());
-        assertEquals("[0 NOT_SENT]", ends());
+        assertEquals("[0 NOT_SENT]", attemptEnds());
     }
 }
