--- a/balancer/src/main/java/baymoor/inventory/CallPacing.java
+++ b/balancer/src/main/java/baymoor/inventory/CallPacing.java
@@ -15,54 +15,54 @@
 public final class CallPacing {
 
     /** How a call ended, as far as the next one's time turns on it. */
-    public enum End {
+    public enum Outcome {
         /** A watch is up. */
         ANSWERED,
         /** No connection: discovery is down, and calls in vain cost it nothing. */
-        REFUSED,
+        CONNECTION_FAILED,
         /** An answer other than the list, or a reset: too many call, or discovery is down, which can't be told apart. */
-        TURNED_DOWN,
+        REJECTED,
         /** No word at all: the connection is dead, which says nothing of discovery. */
-        SILENT
+        TIMED_OUT
     }
 
     /**
      * Each caller's part of the first window: 50 calls a second by all. A service that reads a list from memory does several
      * hundred; one that does fewer than 50 says so soon, at the price of some calls.
      */
-    private static final long FIRST_PART_MICROS = 20_000;
+    private static final long BASE_INTERVAL_MICROS = 20_000;
     /** The window doubles three times at most, to six calls a second by all: as slow as that no service is known to be. */
-    private static final int MOST_DOUBLINGS = 3;
+    private static final int MAX_DOUBLINGS = 3;
     /** And so many are left once it is known that discovery is up: 12 calls a second by all. */
-    private static final int RESUMED_DOUBLINGS = 2;
+    private static final int MAX_DOUBLINGS_AFTER_RECOVERY = 2;
     /** How long a call on a good connection takes where nobody else calls, with a margin for a slow start. */
-    private static final long UNHURRIED_MICROS = 1_000_000;
+    private static final long UNLOADED_CALL_MICROS = 1_000_000;
     /** No call is taken for dead sooner, nor one later that has no connection yet: half of what a change has to be known in is left after the silence before it. */
-    static final long FIRST_SILENCE_MICROS = 2_000_000;
+    static final long MIN_HEDGE_DELAY_MICROS = 2_000_000;
     /** Longer than any discovery lets a call wait for its turn (2 and 3 s are known of). */
-    private static final long MOST_QUEUE_MICROS = 3_200_000;
+    private static final long MAX_QUEUE_MICROS = 3_200_000;
 
     private final int callers;
     private final Random random;
-    private int turn;
+    private int position;
     private int doublings;
 
     /**
      * @param callers balancers of the tier
-     * @param number  this one's number among them
+     * @param index  this one's number among them
      */
-    public CallPacing(int callers, int number, long seed) {
+    public CallPacing(int callers, int index, long seed) {
         this.callers = callers;
-        this.turn = number;
+        this.position = index;
         random = new Random(seed);
     }
 
     /** Takes in how a call ended. */
-    public void ended(End end) {
-        switch (end) {
-            case ANSWERED, REFUSED -> doublings = 0;
-            case TURNED_DOWN -> doublings = Math.min(MOST_DOUBLINGS, doublings + 1);
-            case SILENT -> {}
+    public void recordOutcome(Outcome outcome) {
+        switch (outcome) {
+            case ANSWERED, CONNECTION_FAILED -> doublings = 0;
+            case REJECTED -> doublings = Math.min(MAX_DOUBLINGS, doublings + 1);
+            case TIMED_OUT -> {}
         }
     }
 
@@ -70,29 +70,29 @@
      * Discovery is up again, as another balancer says that has its list. All hear so within a second, so their calls are
      * still spread widely: with what the list stops known by then, a call is less urgent than an answer to each is.
      */
-    public void resumed() {
-        doublings = Math.min(RESUMED_DOUBLINGS, doublings);
+    public void discoveryRecovered() {
+        doublings = Math.min(MAX_DOUBLINGS_AFTER_RECOVERY, doublings);
     }
 
     /** The time to wait from now on to this balancer's turn in the present window. */
-    public long pauseMicros() {
-        double within = (turn + random.nextDouble()) / callers;
+    public long nextDelayMicros() {
+        double fraction = (position + random.nextDouble()) / callers;
         // A step that is prime to the number of callers goes round all turns, and far from the last one each time.
-        turn = (turn + step()) % callers;
-        return (long) (within * windowMicros());
+        position = (position + stride()) % callers;
+        return (long) (fraction * windowMicros());
     }
 
     /** Over how long the calls of all are spread now; one that is alone waits for nobody. */
     long windowMicros() {
-        return ((callers - 1) * FIRST_PART_MICROS) << doublings;
+        return ((callers - 1) * BASE_INTERVAL_MICROS) << doublings;
     }
 
-    private int step() {
-        int step = Math.max(1, (int) (callers * 0.382));
-        while (greatestCommonDivisor(step, callers) > 1) {
-            step++;
+    private int stride() {
+        int stride = Math.max(1, (int) (callers * 0.382));
+        while (greatestCommonDivisor(stride, callers) > 1) {
+            stride++;
         }
-        return step;
+        return stride;
     }
 
     private static int greatestCommonDivisor(int a, int b) {
@@ -104,8 +104,9 @@
      * after one was turned down, a call may just be waiting its turn, and a second one would only make the queue longer. The
      * wait in a tier is reckoned for a discovery half as fast as the first window supposes.
      */
-    public long deadAfterMicros() {
-        long queue = doublings > 0 ? MOST_QUEUE_MICROS : UNHURRIED_MICROS + 2 * callers * FIRST_PART_MICROS;
-        return Math.max(FIRST_SILENCE_MICROS, Math.min(MOST_QUEUE_MICROS, queue));
+    public long hedgeDelayMicros() {
+        long expectedAnswerMicros =
+                doublings > 0 ? MAX_QUEUE_MICROS : UNLOADED_CALL_MICROS + 2 * callers * BASE_INTERVAL_MICROS;
+        return Math.max(MIN_HEDGE_DELAY_MICROS, Math.min(MAX_QUEUE_MICROS, expectedAnswerMicros));
     }
 }
--- a/balancer/src/main/java/baymoor/inventory/Discovery.java
+++ b/balancer/src/main/java/baymoor/inventory/Discovery.java
@@ -31,61 +31,61 @@
 public final class Discovery {
 
     /** Longer than a discovery lets a call wait (2 and 3 s are known of), so that its own word comes first. */
-    private static final long ANSWER_MICROS = 4_000_000;
+    private static final long ANSWER_TIMEOUT_MICROS = 4_000_000;
     /**
-     * A call that is taken for dead ({@link CallPacing#deadAfterMicros}) gets a second one beside it, and gives up its place in
+     * A call that is taken for dead ({@link CallPacing#hedgeDelayMicros}) gets a second one beside it, and gives up its place in
      * turn only if that is quicker.
      */
-    private static final int MOST_CALLS = 2;
+    private static final int MAX_CONCURRENT_CALLS = 2;
     /** Guards against a cut link, on which a watch just falls silent: an empty line is due every 2 s. */
-    private static final long SILENCE_MICROS = 2_500_000;
+    private static final long WATCH_IDLE_TIMEOUT_MICROS = 2_500_000;
 
-    private static final int LONGEST_BODY = 1 << 20;
-    private static final int OK = 200;
+    private static final int MAX_BODY_BYTES = 1 << 20;
+    private static final int HTTP_OK = 200;
     /**
      * What discovery has to tell counts as told 4 s after the word to move, and the module would wait longer than this
      * after a failure.
      */
-    private static final long MOVE_AGAIN_MICROS = 300_000;
+    private static final long ADDRESS_CHANGE_RETRY_MICROS = 300_000;
 
-    private static final int MOST_MOVES = 20;
+    private static final int MAX_ADDRESS_CHANGE_ATTEMPTS = 20;
     /** A watch for good that ends sooner is no sign that the next one holds: the pause before it doubles from this on. */
-    private static final long STEADY_MICROS = 1_000_000;
+    private static final long STABLE_WATCH_MICROS = 1_000_000;
 
-    private static final long FIRST_PAUSE_MICROS = 10_000;
+    private static final long MIN_RECONNECT_DELAY_MICROS = 10_000;
 
     private InetSocketAddress address;
     private final Dialer dialer;
     private final Time time;
     private final Inventory inventory;
     private final Counters counters;
-    private final Consumer<ServerList> events;
+    private final Consumer<ServerList> listener;
     private final CallPacing pacing;
     private final ListConfirmation confirmation;
-    private Runnable unwatched = () -> {};
+    private Runnable watchLostTask = () -> {};
     /** Whether others have told of discovery's return since the watch was lost. */
-    private boolean resumed;
+    private boolean recoveryReported;
 
-    private long lostMicros;
-    private long resumedMicros = Long.MIN_VALUE;
+    private long watchLostMicros;
+    private long recoveredMicros = Long.MIN_VALUE;
     /** The watch that has answered, if any, and calls for another, the oldest first. */
     private Call watch;
 
-    private final List<Call> calls = new ArrayList<>();
-    private long lastCallMicros;
+    private final List<Call> watchCalls = new ArrayList<>();
+    private long lastWatchCallMicros;
     /** Whether a watch was ordered, however it stands with it. */
-    private boolean ordered;
+    private boolean watchRequested;
 
-    private Call asked;
-    private Time.Timer nextTry;
-    private Time.Timer secondCall;
+    private Call listCall;
+    private Time.Timer nextCallTimer;
+    private Time.Timer hedgeTimer;
     /** Tries since discovery moved, 0 where it has not. */
-    private int moves;
+    private int addressChangeAttempts;
     /** The longest pause of a watch for good, 0 where watches are ordered; and the present one. */
-    private long longestPauseMicros;
+    private long maxReconnectDelayMicros;
 
-    private long pauseMicros;
-    private Time.Timer askAgain;
+    private long reconnectDelayMicros;
+    private Time.Timer listRetryTimer;
 
     public Discovery(
             InetSocketAddress address,
@@ -95,7 +95,7 @@
             Counters counters,
             CallPacing pacing,
             ListConfirmation confirmation,
-            Consumer<ServerList> events) {
+            Consumer<ServerList> listener) {
         this.pacing = pacing;
         this.confirmation = confirmation;
         this.address = address;
@@ -103,35 +103,35 @@
         this.time = time;
         this.inventory = inventory;
         this.counters = counters;
-        this.events = events;
+        this.listener = listener;
     }
 
     /** Has a task run each time the watch has ended or fallen silent. */
     public void whenUnwatched(Runnable task) {
-        unwatched = task;
+        watchLostTask = task;
     }
 
     /** Begins a watch from the version held, once it is this balancer's turn, in the place of the one there is, or ends that. */
-    public void watch(boolean on) {
-        ordered = on;
-        if (!on) {
-            stopCalling();
+    public void watch(boolean enabled) {
+        watchRequested = enabled;
+        if (!enabled) {
+            cancelWatchCalls();
             if (watch != null) {
-                watch.abandon();
+                watch.cancel();
                 watch = null;
-                lost();
+                handleWatchLost();
             }
-        } else if (!calling()) {
-            callInTurn();
+        } else if (!watchCallPending()) {
+            schedulePacedCall();
         }
     }
 
-    private void callInTurn() {
-        long pause = pacing.pauseMicros();
-        if (pause > 0) {
-            tryAfter(pause);
+    private void schedulePacedCall() {
+        long delayMicros = pacing.nextDelayMicros();
+        if (delayMicros > 0) {
+            scheduleWatchCall(delayMicros);
         } else {
-            call();
+            startWatchCall();
         }
     }
 
@@ -141,94 +141,95 @@
      * @param graceMicros how soon what the agent holds has to be known here, at the least after it was unreachable
      */
     public void attend(long graceMicros) {
-        longestPauseMicros = Math.max(FIRST_PAUSE_MICROS, graceMicros / 2);
-        pauseMicros = 0;
-        call();
+        maxReconnectDelayMicros = Math.max(MIN_RECONNECT_DELAY_MICROS, graceMicros / 2);
+        reconnectDelayMicros = 0;
+        startWatchCall();
     }
 
-    private boolean attending() {
-        return longestPauseMicros > 0;
+    private boolean watchesContinuously() {
+        return maxReconnectDelayMicros > 0;
     }
 
-    /** The time to wait before a call is tried again, after one that began at {@code since}. */
-    private long pause(long since) {
-        long next = Math.max(FIRST_PAUSE_MICROS, Math.min(2 * pauseMicros, longestPauseMicros));
-        pauseMicros = time.now() - since >= STEADY_MICROS ? 0 : next;
-        return pauseMicros;
+    /** The time to wait before a call is tried again, after one that began at {@code startedMicros}. */
+    private long nextReconnectDelay(long startedMicros) {
+        long nextDelayMicros =
+                Math.max(MIN_RECONNECT_DELAY_MICROS, Math.min(2 * reconnectDelayMicros, maxReconnectDelayMicros));
+        reconnectDelayMicros = time.now() - startedMicros >= STABLE_WATCH_MICROS ? 0 : nextDelayMicros;
+        return reconnectDelayMicros;
     }
 
     /** Discovery is found at another address from now on. */
-    public void move(InetSocketAddress to) {
-        if (to.equals(address)) {
+    public void move(InetSocketAddress newAddress) {
+        if (newAddress.equals(address)) {
             return;
         }
-        address = to;
-        stopCalling();
-        if (asked != null && !asked.over) {
-            asked.abandon();
+        address = newAddress;
+        cancelWatchCalls();
+        if (listCall != null && !listCall.closed) {
+            listCall.cancel();
             ask();
         }
-        if (ordered || attending()) {
-            moves = 1;
-            call();
+        if (watchRequested || watchesContinuously()) {
+            addressChangeAttempts = 1;
+            startWatchCall();
         }
     }
 
     /** Whether another watch is on its way, or will be. */
-    private boolean calling() {
-        return nextTry != null || !calls.isEmpty();
+    private boolean watchCallPending() {
+        return nextCallTimer != null || !watchCalls.isEmpty();
     }
 
-    private void stopCalling() {
-        List.copyOf(calls).forEach(Call::abandon);
-        calls.clear();
-        moves = 0;
-        nextTry = cancelled(nextTry);
-        secondCall = cancelled(secondCall);
+    private void cancelWatchCalls() {
+        List.copyOf(watchCalls).forEach(Call::cancel);
+        watchCalls.clear();
+        addressChangeAttempts = 0;
+        nextCallTimer = cancel(nextCallTimer);
+        hedgeTimer = cancel(hedgeTimer);
     }
 
-    private static Time.Timer cancelled(Time.Timer timer) {
+    private static Time.Timer cancel(Time.Timer timer) {
         if (timer != null) {
             timer.cancel();
         }
         return null;
     }
 
-    private void call() {
-        nextTry = cancelled(nextTry);
-        secondCall = cancelled(secondCall);
-        lastCallMicros = time.now();
-        calls.add(new Call("/v1/servers?watch=1&from=" + inventory.version(), true));
-        callAgainLater();
+    private void startWatchCall() {
+        nextCallTimer = cancel(nextCallTimer);
+        hedgeTimer = cancel(hedgeTimer);
+        lastWatchCallMicros = time.now();
+        watchCalls.add(new Call("/v1/servers?watch=1&from=" + inventory.version(), true));
+        scheduleHedgedCall();
     }
 
     /** A call that has no connection yet waits in no queue, and is taken for dead sooner than one that has. */
-    private void callAgainLater() {
-        if (secondCall == null && !calls.isEmpty() && calls.size() < MOST_CALLS) {
-            long dead = lastCallMicros + CallPacing.FIRST_SILENCE_MICROS;
-            secondCall = time.after(dead - time.now(), this::callAgainIfDead);
+    private void scheduleHedgedCall() {
+        if (hedgeTimer == null && !watchCalls.isEmpty() && watchCalls.size() < MAX_CONCURRENT_CALLS) {
+            long hedgeAtMicros = lastWatchCallMicros + CallPacing.MIN_HEDGE_DELAY_MICROS;
+            hedgeTimer = time.after(hedgeAtMicros - time.now(), this::startHedgedCallIfUnanswered);
         }
     }
 
-    private void callAgainIfDead() {
-        long dead = lastCallMicros + pacing.deadAfterMicros();
-        boolean waits = calls.get(calls.size() - 1).opened;
-        if (waits && time.now() < dead) {
-            secondCall = time.after(dead - time.now(), this::call);
+    private void startHedgedCallIfUnanswered() {
+        long hedgeAtMicros = lastWatchCallMicros + pacing.hedgeDelayMicros();
+        boolean connected = watchCalls.get(watchCalls.size() - 1).connected;
+        if (connected && time.now() < hedgeAtMicros) {
+            hedgeTimer = time.after(hedgeAtMicros - time.now(), this::startWatchCall);
         } else {
-            call();
+            startWatchCall();
         }
     }
 
     /** A call for a watch is answered: only now is the old one given up, so that nothing told meanwhile is missed. */
-    private void arrived(Call call) {
-        calls.remove(call);
-        stopCalling();
+    private void handleWatchEstablished(Call call) {
+        watchCalls.remove(call);
+        cancelWatchCalls();
         if (watch != null) {
-            watch.abandon();
+            watch.cancel();
         }
         watch = call;
-        pacing.ended(CallPacing.End.ANSWERED);
+        pacing.recordOutcome(CallPacing.Outcome.ANSWERED);
     }
 
     /**
@@ -236,143 +237,146 @@
      * down, discovery is up again, and calls that had been put off come sooner.
      */
     public void heardFromOthers() {
-        long known = confirmation.completeMicros();
-        if (resumed || known <= lostMicros || known <= confirmation.unreachableMicros()) {
+        long confirmedMicros = confirmation.lastCompleteMicros();
+        if (recoveryReported
+                || confirmedMicros <= watchLostMicros
+                || confirmedMicros <= confirmation.lastUnreachableMicros()) {
             return;
         }
-        resumed = true;
-        resumedMicros = time.now();
-        pacing.resumed();
-        if (nextTry != null && moves == 0) {
-            nextTry = cancelled(nextTry);
-            callInTurn();
+        recoveryReported = true;
+        recoveredMicros = time.now();
+        pacing.discoveryRecovered();
+        if (nextCallTimer != null && addressChangeAttempts == 0) {
+            nextCallTimer = cancel(nextCallTimer);
+            schedulePacedCall();
         }
     }
 
-    private void lost() {
-        resumed = false;
-        lostMicros = time.now();
+    private void handleWatchLost() {
+        recoveryReported = false;
+        watchLostMicros = time.now();
         confirmation.watchLost();
-        unwatched.run();
+        watchLostTask.run();
     }
 
-    private void failed(Call call) {
+    private void handleCallFailure(Call call) {
         counters.add(Count.INVENTORY_FAILED);
-        calls.remove(call);
+        watchCalls.remove(call);
         if (call == watch) {
             watch = null;
-            lost();
+            handleWatchLost();
         } else {
-            if (call.since >= resumedMicros) {
-                pacing.ended(call.ending()); // one from before discovery's return says nothing of how many call now
+            if (call.startedMicros >= recoveredMicros) {
+                pacing.recordOutcome(
+                        call.outcome()); // one from before discovery's return says nothing of how many call now
             }
-            confirmation.failed(call.ending(), call.since, time.now());
-        }
-        if (call == asked && attending()) {
-            askAgain = time.after(pause(call.since), this::ask);
-        } else if (calling()) {
-            callAgainLater(); // another watch is on its way, and makes up for it
-        } else if (attending()) {
-            tryAfter(pause(call.since));
-        } else if (moves > 0 && moves < MOST_MOVES) {
-            moves++;
-            tryAfter(Math.max(MOVE_AGAIN_MICROS, pacing.pauseMicros()));
-        } else if (!call.silent) {
-            moves = 0;
-            secondCall = cancelled(secondCall);
-            events.accept(new ServerList(ListKind.FAILED, inventory.version(), List.of()));
+            confirmation.callFailed(call.outcome(), call.startedMicros, time.now());
+        }
+        if (call == listCall && watchesContinuously()) {
+            listRetryTimer = time.after(nextReconnectDelay(call.startedMicros), this::ask);
+        } else if (watchCallPending()) {
+            scheduleHedgedCall(); // another watch is on its way, and makes up for it
+        } else if (watchesContinuously()) {
+            scheduleWatchCall(nextReconnectDelay(call.startedMicros));
+        } else if (addressChangeAttempts > 0 && addressChangeAttempts < MAX_ADDRESS_CHANGE_ATTEMPTS) {
+            addressChangeAttempts++;
+            scheduleWatchCall(Math.max(ADDRESS_CHANGE_RETRY_MICROS, pacing.nextDelayMicros()));
+        } else if (!call.idleReported) {
+            addressChangeAttempts = 0;
+            hedgeTimer = cancel(hedgeTimer);
+            listener.accept(new ServerList(ListKind.FAILED, inventory.version(), List.of()));
         }
     }
 
-    private void tryAfter(long micros) {
-        secondCall = cancelled(secondCall);
-        nextTry = time.after(micros, this::call);
+    private void scheduleWatchCall(long delayMicros) {
+        hedgeTimer = cancel(hedgeTimer);
+        nextCallTimer = time.after(delayMicros, this::startWatchCall);
     }
 
     /** The watch says nothing any more. It is kept until another one answers, as an agent may have nothing to tell from. */
-    private void silent(Call call) {
-        if (confirmation.watched()) {
-            lost();
+    private void handleWatchIdle(Call call) {
+        if (confirmation.hasLiveWatch()) {
+            handleWatchLost();
         }
-        if (calling()) {
+        if (watchCallPending()) {
             return;
         }
-        if (attending()) {
-            call();
-        } else if (!call.silent) {
-            call.silent = true;
+        if (watchesContinuously()) {
+            startWatchCall();
+        } else if (!call.idleReported) {
+            call.idleReported = true;
             counters.add(Count.INVENTORY_FAILED);
-            events.accept(new ServerList(ListKind.FAILED, inventory.version(), List.of()));
+            listener.accept(new ServerList(ListKind.FAILED, inventory.version(), List.of()));
         }
     }
 
     /** Asks once for the whole list; a call that is out already serves as well. */
     public void ask() {
-        askAgain = cancelled(askAgain);
-        if (asked == null || asked.over) {
-            asked = new Call("/v1/servers", false);
+        listRetryTimer = cancel(listRetryTimer);
+        if (listCall == null || listCall.closed) {
+            listCall = new Call("/v1/servers", false);
         }
     }
 
-    private final class Call implements LinkEvents, ListLines.Hearer {
-        private final boolean watching;
+    private final class Call implements LinkEvents, ListLines.Listener {
+        private final boolean isWatch;
         private final String target;
-        private final ResponseReader reader = new ResponseReader(LONGEST_BODY);
+        private final ResponseReader reader = new ResponseReader(MAX_BODY_BYTES);
         private final ByteArrayOutputStream body = new ByteArrayOutputStream();
-        private final ListLines lines = new ListLines(LONGEST_BODY, this);
+        private final ListLines lines = new ListLines(MAX_BODY_BYTES, this);
         private Link link;
         private Time.Timer timeout;
-        private final InetSocketAddress at = address;
-        private final long since = time.now();
-        private boolean answered;
+        private final InetSocketAddress remoteAddress = address;
+        private final long startedMicros = time.now();
+        private boolean established;
         /** Nothing came for too long, and that was told. */
-        private boolean silent;
+        private boolean idleReported;
 
-        private boolean over;
-        private boolean opened;
+        private boolean closed;
+        private boolean connected;
         private boolean timedOut;
         /** Whether it has told what there was, so that all later signs of life say that nothing is missing. */
-        private boolean complete;
+        private boolean listComplete;
 
-        Call(String target, boolean watching) {
+        Call(String target, boolean isWatch) {
             this.target = target;
-            this.watching = watching;
+            this.isWatch = isWatch;
             counters.add(Count.INVENTORY_CALLS);
-            timeout = time.after(ANSWER_MICROS, this::timedOut);
-            link = dialer.dial(at, this);
+            timeout = time.after(ANSWER_TIMEOUT_MICROS, this::handleTimeout);
+            link = dialer.dial(remoteAddress, this);
         }
 
         @Override
         public void opened() {
-            opened = true;
-            String host = at.getAddress().getHostAddress() + ":" + at.getPort();
+            connected = true;
+            String host = remoteAddress.getAddress().getHostAddress() + ":" + remoteAddress.getPort();
             link.write(RequestWriter.request("GET", target, host, Map.of(), null));
         }
 
         @Override
         public void received(byte[] bytes) {
-            if (over) {
+            if (closed) {
                 return;
             }
             try {
                 reader.feed(bytes);
-                if (reader.headed() && reader.status() != OK) {
+                if (reader.headed() && reader.status() != HTTP_OK) {
                     fail();
                     return;
                 }
-                if (watching && reader.headed() && !answered) {
-                    answered = true;
-                    alive();
-                    arrived(this);
+                if (isWatch && reader.headed() && !established) {
+                    established = true;
+                    onHeartbeat();
+                    handleWatchEstablished(this);
                 }
-                byte[] more = reader.takeBody();
-                if (watching) {
-                    lines.feed(more);
+                byte[] bodyBytes = reader.takeBody();
+                if (isWatch) {
+                    lines.feed(bodyBytes);
                 } else {
-                    body.writeBytes(more);
+                    body.writeBytes(bodyBytes);
                 }
                 if (reader.whole()) {
-                    end();
+                    handleResponseEnd();
                 }
             } catch (HttpException e) {
                 counters.add(Count.INVENTORY_BAD);
@@ -380,74 +384,74 @@
             }
         }
 
-        private void end() {
-            if (watching) {
+        private void handleResponseEnd() {
+            if (isWatch) {
                 fail();
-            } else if (tell(body.toString(StandardCharsets.UTF_8))) {
-                confirmation.complete(since);
+            } else if (applyList(body.toString(StandardCharsets.UTF_8))) {
+                confirmation.recordComplete(startedMicros);
                 if (watch != null) {
-                    watch.complete = true;
+                    watch.listComplete = true;
                 }
-                abandon();
+                cancel();
             } else {
                 fail();
             }
         }
 
         @Override
-        public void told(String object) {
-            if (!over && !tell(object)) {
+        public void onObject(String object) {
+            if (!closed && !applyList(object)) {
                 ask();
             }
         }
 
         /** Danger: it may have told of a drain. It is ignored, and the whole list makes up for it. */
         @Override
-        public void spoilt() {
-            if (!over) {
+        public void onMalformed() {
+            if (!closed) {
                 counters.add(Count.INVENTORY_BAD);
-                complete = false;
+                listComplete = false;
                 ask();
             }
         }
 
         /** A line that drips on and never ends is silence too: only its end is a sign of life. */
         @Override
-        public void alive() {
-            if (!over) {
-                silent = false;
-                if (watching && complete) {
-                    confirmation.watchAlive(time.now());
+        public void onHeartbeat() {
+            if (!closed) {
+                idleReported = false;
+                if (isWatch && listComplete) {
+                    confirmation.watchHeartbeat(time.now());
                 }
-                listenOn();
+                restartIdleTimer();
             }
         }
 
-        private void listenOn() {
+        private void restartIdleTimer() {
             timeout.cancel();
-            timeout = time.after(SILENCE_MICROS, this::timedOut);
+            timeout = time.after(WATCH_IDLE_TIMEOUT_MICROS, this::handleTimeout);
         }
 
-        private boolean tell(String text) {
+        private boolean applyList(String text) {
             try {
-                ServerList list = watching ? inventory.told(text) : inventory.answered(text);
+                ServerList list = isWatch ? inventory.applyWatchObject(text) : inventory.applyFullList(text);
                 counters.add(Count.INVENTORY_LISTS);
                 if (list != null) {
-                    events.accept(list);
+                    listener.accept(list);
                 }
-                complete = !inventory.wantsWhole();
-                return complete;
+                listComplete = !inventory.needsFullList();
+                return listComplete;
             } catch (JSONException e) {
                 counters.add(Count.INVENTORY_BAD);
-                complete = false;
+                listComplete = false;
                 return false;
             }
         }
 
-        private void timedOut() {
+        private void handleTimeout() {
             if (this == watch) {
-                Discovery.this.silent(this);
-                listenOn();
+                Discovery.this.handleWatchIdle(this);
+                restartIdleTimer();
             } else {
                 timedOut = true;
                 fail();
@@ -455,11 +459,11 @@
         }
 
         /** How a call that has failed ended. */
-        CallPacing.End ending() {
+        CallPacing.Outcome outcome() {
             if (timedOut) {
-                return CallPacing.End.SILENT;
+                return CallPacing.Outcome.TIMED_OUT;
             }
-            return opened ? CallPacing.End.TURNED_DOWN : CallPacing.End.REFUSED;
+            return connected ? CallPacing.Outcome.REJECTED : CallPacing.Outcome.CONNECTION_FAILED;
         }
 
         @Override
@@ -469,10 +473,10 @@
 
         @Override
         public void closed() {
-            if (!over) {
+            if (!closed) {
                 reader.end();
-                if (!watching && reader.whole()) {
-                    end();
+                if (!isWatch && reader.whole()) {
+                    handleResponseEnd();
                 } else {
                     fail();
                 }
@@ -480,14 +484,14 @@
         }
 
         private void fail() {
-            if (!over) {
-                abandon();
-                failed(this);
+            if (!closed) {
+                cancel();
+                handleCallFailure(this);
             }
         }
 
-        private void abandon() {
-            over = true;
+        private void cancel() {
+            closed = true;
             timeout.cancel();
             link.close();
         }
--- a/balancer/src/main/java/baymoor/inventory/Inventory.java
+++ b/balancer/src/main/java/baymoor/inventory/Inventory.java
@@ -34,14 +34,14 @@
     /** A listed host, as south needs it. */
     public record Entry(long id, InetSocketAddress address, String kind, State state) {
 
-        private Entry in(State other) {
-            return new Entry(id, address, kind, state == State.RUNNING ? other : state);
+        private Entry withStateIfRunning(State otherState) {
+            return new Entry(id, address, kind, state == State.RUNNING ? otherState : state);
         }
     }
 
-    private static final int LONGEST_NAME = 256;
+    private static final int MAX_NAME_LENGTH = 256;
     /** Older whole lists in a row, with nothing newer between, after which the service itself has begun anew. */
-    private static final int OLDER_BELIEVED = 3;
+    private static final int OLDER_LISTS_BEFORE_RESET = 3;
 
     private final LongUnaryOperator sinceMillisToMicros;
     private final Counters counters;
@@ -49,13 +49,13 @@
     /** What discovery said last of each host in {@link #entries}. */
     private final Map<Long, Server> servers = new HashMap<>();
     /** Hosts that other balancers' word has stopped, until a list of this version or a later one says what holds. */
-    private final Set<Long> stopped = new HashSet<>();
+    private final Set<Long> stoppedByPeers = new HashSet<>();
 
     private long stoppedVersion;
     private long version;
-    private long spoiltVersion = -1;
-    private int older;
-    private boolean wantsWhole;
+    private long malformedVersion = -1;
+    private int olderListsInRow;
+    private boolean needsFullList;
 
     /** @param sinceMillisToMicros maps discovery's Unix milliseconds onto the balancer's clock */
     public Inventory(LongUnaryOperator sinceMillisToMicros, Counters counters) {
@@ -70,11 +70,11 @@
     /** A host once listed, in its last state, or null. */
     public Entry entry(long id) {
         Entry entry = entries.get(id);
-        return entry != null && stopped.contains(id) ? entry.in(State.DRAINING) : entry;
+        return entry != null && stoppedByPeers.contains(id) ? entry.withStateIfRunning(State.DRAINING) : entry;
     }
 
     /** Tags of the hosts that run. */
-    List<Integer> running() {
+    List<Integer> runningTags() {
         List<Integer> tags = new ArrayList<>();
         for (Entry entry : entries.values()) {
             if (entry(entry.id()).state() == State.RUNNING) {
@@ -89,38 +89,38 @@
      * discovery's own word does, by a list that is not older.
      *
      * @param tags    {@link ListMessage#tag} of each
-     * @param asOf the version of that list
+     * @param listVersion the version of that list
      * @return what there is now, or null where nothing has changed
      */
-    ServerList stopAllBut(Set<Integer> tags, long asOf) {
-        if (asOf < version) {
+    ServerList stopAllExcept(Set<Integer> tags, long listVersion) {
+        if (listVersion < version) {
             return null;
         }
         boolean changed = false;
         for (Entry entry : entries.values()) {
-            boolean runs = entry.state() == State.RUNNING;
-            if (runs && !tags.contains(ListMessage.tag(entry.id())) && stopped.add(entry.id())) {
+            boolean running = entry.state() == State.RUNNING;
+            if (running && !tags.contains(ListMessage.tag(entry.id())) && stoppedByPeers.add(entry.id())) {
                 changed = true;
             }
         }
         if (!changed) {
             return null;
         }
-        stoppedVersion = Math.max(stoppedVersion, asOf);
+        stoppedVersion = Math.max(stoppedVersion, listVersion);
         counters.add(Count.INVENTORY_STOPPED);
-        return new ServerList(ListKind.LAST_KNOWN, version, listed());
+        return new ServerList(ListKind.LAST_KNOWN, version, listedServers());
     }
 
     /** All hosts that are not gone, as discovery and other balancers say. */
-    private List<Server> listed() {
+    private List<Server> listedServers() {
         return servers.values().stream()
                 .filter(s -> s.state() != State.GONE)
-                .map(this::stoppedOrNot)
+                .map(this::withPeerStop)
                 .toList();
     }
 
-    private Server stoppedOrNot(Server s) {
-        return s.state() != State.RUNNING || !stopped.contains(s.id())
+    private Server withPeerStop(Server s) {
+        return s.state() != State.RUNNING || !stoppedByPeers.contains(s.id())
                 ? s
                 : new Server(s.id(), s.size(), s.kind(), State.DRAINING, s.zone(), s.startedMicros(), s.cell());
     }
@@ -132,83 +132,84 @@
     public void forget(LongPredicate inUse) {
         entries.values().removeIf(e -> e.state() == State.GONE && !inUse.test(e.id()));
         servers.keySet().retainAll(entries.keySet());
-        stopped.retainAll(entries.keySet());
+        stoppedByPeers.retainAll(entries.keySet());
     }
 
     /** Whether what came last could not be taken in full, so that the whole list is to be asked for. */
-    public boolean wantsWhole() {
-        return wantsWhole;
+    public boolean needsFullList() {
+        return needsFullList;
     }
 
     /** Takes the list that the configuration holds. */
     public ServerList known(JSONObject object) {
-        return take(object, ListKind.LAST_KNOWN);
+        return apply(object, ListKind.LAST_KNOWN);
     }
 
     /** Takes one object of a watch; null if it is older than what is held. */
-    public ServerList told(String text) {
+    public ServerList applyWatchObject(String text) {
         JSONObject object = new JSONObject(text);
-        if (stale(object)) {
+        if (isStale(object)) {
             counters.add(Count.INVENTORY_BAD);
-            wantsWhole = true;
+            needsFullList = true;
             return null;
         }
-        return take(object, object.getBoolean("snapshot") ? ListKind.WHOLE : ListKind.CHANGES);
+        return apply(object, object.getBoolean("snapshot") ? ListKind.WHOLE : ListKind.CHANGES);
     }
 
     /** Takes the answer to a call; null if the watch has told of something newer meanwhile. */
-    public ServerList answered(String text) {
+    public ServerList applyFullList(String text) {
         JSONObject object = new JSONObject(text);
-        wantsWhole = false;
-        return stale(object) ? null : take(object, ListKind.WHOLE);
+        needsFullList = false;
+        return isStale(object) ? null : apply(object, ListKind.WHOLE);
     }
 
     /**
      * Whether an object is older than what is held. Danger: an old list would bring back hosts that were said to drain.
      * But a service that was set up anew counts from the start, and nobody may be left with its last list for good.
      */
-    private boolean stale(JSONObject object) {
+    private boolean isStale(JSONObject object) {
         if (object.getLong("index") >= version) {
-            older = 0;
+            olderListsInRow = 0;
             return false;
         }
-        older += object.optBoolean("snapshot", true) ? 1 : 0;
-        return older < OLDER_BELIEVED || !object.optBoolean("snapshot", true);
+        olderListsInRow += object.optBoolean("snapshot", true) ? 1 : 0;
+        return olderListsInRow < OLDER_LISTS_BEFORE_RESET || !object.optBoolean("snapshot", true);
     }
 
     /**
      * An entry that can't be read is counted and left out: it must not cost the others. A whole list with one says
      * nothing of who is absent, unless it comes so a second time.
      */
-    private ServerList take(JSONObject object, ListKind said) {
+    private ServerList apply(JSONObject object, ListKind announcedKind) {
         long index = object.getLong("index");
         JSONArray endpoints = object.getJSONArray("endpoints");
         Map<Long, Server> servers = new LinkedHashMap<>();
         Map<Long, Entry> changed = new HashMap<>();
-        boolean spoilt = false;
+        boolean malformed = false;
         for (int i = 0; i < endpoints.length(); i++) {
             try {
-                JSONObject e = endpoints.getJSONObject(i);
-                Server server = server(e);
-                Entry entry = new Entry(server.id(), address(e.getString("address")), server.kind(), server.state());
-                Server twin = servers.get(server.id());
-                if (twin != null) {
+                JSONObject endpoint = endpoints.getJSONObject(i);
+                Server server = parseServer(endpoint);
+                Entry entry = new Entry(
+                        server.id(), parseAddress(endpoint.getString("address")), server.kind(), server.state());
+                Server duplicate = servers.get(server.id());
+                if (duplicate != null) {
                     counters.add(Count.INVENTORY_BAD);
-                    spoilt = true;
+                    malformed = true;
                 }
                 // Of a host named twice the more careful word holds: nothing new goes to one that may drain.
-                if (twin == null || server.state().compareTo(twin.state()) > 0) {
+                if (duplicate == null || server.state().compareTo(duplicate.state()) > 0) {
                     servers.put(server.id(), server);
                     changed.put(server.id(), entry);
                 }
             } catch (JSONException e) {
                 counters.add(Count.INVENTORY_BAD);
-                spoilt = true;
+                malformed = true;
             }
         }
-        wantsWhole = spoilt && index != spoiltVersion && said != ListKind.LAST_KNOWN;
-        spoiltVersion = wantsWhole ? index : spoiltVersion;
-        ListKind kind = wantsWhole ? ListKind.CHANGES : said;
+        needsFullList = malformed && index != malformedVersion && announcedKind != ListKind.LAST_KNOWN;
+        malformedVersion = needsFullList ? index : malformedVersion;
+        ListKind kind = needsFullList ? ListKind.CHANGES : announcedKind;
         if (index < version) {
             stoppedVersion = index; // the service counts anew, and versions from before say nothing any more
         }
@@ -220,40 +221,41 @@
         }
         entries.putAll(changed);
         this.servers.putAll(servers);
-        return told(kind, servers);
+        return toEvent(kind, servers);
     }
 
     /** What is told of a list that was taken: where it lifts other balancers' word, all that holds now. */
-    private ServerList told(ListKind kind, Map<Long, Server> came) {
-        boolean lifts = !stopped.isEmpty() && version >= stoppedVersion;
-        if (lifts) {
-            stopped.clear();
-            return new ServerList(kind == ListKind.LAST_KNOWN ? kind : ListKind.WHOLE, version, listed());
+    private ServerList toEvent(ListKind kind, Map<Long, Server> received) {
+        boolean liftsStops = !stoppedByPeers.isEmpty() && version >= stoppedVersion;
+        if (liftsStops) {
+            stoppedByPeers.clear();
+            return new ServerList(kind == ListKind.LAST_KNOWN ? kind : ListKind.WHOLE, version, listedServers());
         }
-        List<Server> servers = came.values().stream().map(this::stoppedOrNot).toList();
+        List<Server> servers =
+                received.values().stream().map(this::withPeerStop).toList();
         return new ServerList(kind, version, servers);
     }
 
-    private Server server(JSONObject e) {
-        State state = switch (e.getString("status")) {
+    private Server parseServer(JSONObject endpoint) {
+        State state = switch (endpoint.getString("status")) {
             case "in_service" -> State.RUNNING;
             case "terminating" -> State.DRAINING;
             case "terminated" -> State.GONE;
             default -> throw new JSONException("unknown status");
         };
-        long since = e.optLong("since_ms", 0);
+        long sinceMillis = endpoint.optLong("since_ms", 0);
         return new Server(
-                id(e.getString("name")),
-                e.optDouble("weight", 1),
-                e.optString("type", ""),
+                idOf(endpoint.getString("name")),
+                endpoint.optDouble("weight", 1),
+                endpoint.optString("type", ""),
                 state,
-                e.optString("zone", ""),
-                since <= 0 ? 0 : Math.max(0, sinceMillisToMicros.applyAsLong(since)),
-                e.optInt("group", 0));
+                endpoint.optString("zone", ""),
+                sinceMillis <= 0 ? 0 : Math.max(0, sinceMillisToMicros.applyAsLong(sinceMillis)),
+                endpoint.optInt("group", 0));
     }
 
-    private long id(String name) {
-        if (name.isEmpty() || name.length() > LONGEST_NAME) {
+    private long idOf(String name) {
+        if (name.isEmpty() || name.length() > MAX_NAME_LENGTH) {
             throw new JSONException("name is empty or too long");
         }
         return hash(name);
@@ -269,7 +271,7 @@
         }
     }
 
-    private static InetSocketAddress address(String text) {
+    private static InetSocketAddress parseAddress(String text) {
         InetSocketAddress address = Address.parse(text);
         if (address == null) {
             throw new JSONException("address is not in figures with a port");
--- a/balancer/src/main/java/baymoor/inventory/ListExchange.java
+++ b/balancer/src/main/java/baymoor/inventory/ListExchange.java
@@ -23,107 +23,108 @@
     /** Sends a datagram to the balancer with a number. */
     @FunctionalInterface
     public interface Sender {
-        void tell(int peer, byte[] content);
+        void send(int peer, byte[] datagram);
     }
 
     /** Others asked at a time: word from one of n reaches all in about log2(n) rounds, also where some are lost. */
-    private static final int ASKED = 3;
+    private static final int QUERY_FANOUT = 3;
     /** The first pause before others are asked: longer than there and back, so that what was answered isn't asked again. */
-    private static final long FIRST_PAUSE_MICROS = 100_000;
+    private static final long INITIAL_QUERY_INTERVAL_MICROS = 100_000;
     /** The longest pause: the list has to be confirmed every 6 s, and an answer may be lost, and age on its way by others. */
-    private static final long MOST_PAUSE_MICROS = 1_000_000;
+    private static final long MAX_QUERY_INTERVAL_MICROS = 1_000_000;
     /** An answer that comes later is as good as lost: what it says has aged with it. */
-    private static final long ANSWER_WITHIN_MICROS = 2_000_000;
+    private static final long REPLY_TIMEOUT_MICROS = 2_000_000;
 
-    private final int self;
-    private final int balancers;
+    private final int selfIndex;
+    private final int balancerCount;
     private final Time time;
     private final Random random;
     private final Inventory inventory;
     private final ListConfirmation confirmation;
     private final Counters counters;
     private final Sender sender;
-    private final Consumer<ServerList> events;
-    private Runnable confirmed = () -> {};
-    private final Map<Long, Asked> questions = new HashMap<>();
-    private long pauseMicros;
-    private Time.Timer next;
+    private final Consumer<ServerList> listener;
+    private Runnable confirmedTask = () -> {};
+    private final Map<Long, PendingQuery> pendingQueries = new HashMap<>();
+    private long queryIntervalMicros;
+    private Time.Timer nextQueryTimer;
 
     /** A question that is out, and the parts of its answer so far. */
-    private static final class Asked {
+    private static final class PendingQuery {
         final int peer;
-        final long atMicros;
-        final Map<Integer, ListMessage.Answer> parts = new HashMap<>();
+        final long sentMicros;
+        final Map<Integer, ListMessage.Reply> parts = new HashMap<>();
 
-        Asked(int peer, long atMicros) {
+        PendingQuery(int peer, long sentMicros) {
             this.peer = peer;
-            this.atMicros = atMicros;
+            this.sentMicros = sentMicros;
         }
     }
 
     /**
-     * @param self      this balancer's number among {@code balancers}
-     * @param events    hears of hosts that another one's word has stopped
+     * @param selfIndex      this balancer's number among {@code balancerCount}
+     * @param listener    hears of hosts that another one's word has stopped
      */
     public ListExchange(
-            int self,
-            int balancers,
+            int selfIndex,
+            int balancerCount,
             long seed,
             Time time,
             Inventory inventory,
             ListConfirmation confirmation,
             Counters counters,
             Sender sender,
-            Consumer<ServerList> events) {
-        this.self = self;
-        this.balancers = balancers;
+            Consumer<ServerList> listener) {
+        this.selfIndex = selfIndex;
+        this.balancerCount = balancerCount;
         this.time = time;
         this.inventory = inventory;
         this.confirmation = confirmation;
         this.counters = counters;
         this.sender = sender;
-        this.events = events;
+        this.listener = listener;
         random = new Random(seed);
     }
 
     /** Has a task run each time another one's word has confirmed the list. */
     public void whenConfirmed(Runnable task) {
-        confirmed = task;
+        confirmedTask = task;
     }
 
     /** Begins to ask others, unless a watch is up or it asks already. */
     public void seek() {
-        if (next == null && !confirmation.watched() && balancers > 1) {
-            pauseMicros = FIRST_PAUSE_MICROS;
-            ask();
+        if (nextQueryTimer == null && !confirmation.hasLiveWatch() && balancerCount > 1) {
+            queryIntervalMicros = INITIAL_QUERY_INTERVAL_MICROS;
+            queryPeers();
         }
     }
 
-    private void ask() {
-        next = null;
-        questions.values().removeIf(q -> time.now() - q.atMicros > ANSWER_WITHIN_MICROS);
-        if (confirmation.watched()) {
+    private void queryPeers() {
+        nextQueryTimer = null;
+        pendingQueries.values().removeIf(query -> time.now() - query.sentMicros > REPLY_TIMEOUT_MICROS);
+        if (confirmation.hasLiveWatch()) {
             return;
         }
         Set<Integer> peers = new HashSet<>();
-        while (peers.size() < Math.min(ASKED, balancers - 1)) {
-            int peer = random.nextInt(balancers);
-            if (peer != self && peers.add(peer)) {
-                askOne(peer);
+        while (peers.size() < Math.min(QUERY_FANOUT, balancerCount - 1)) {
+            int peer = random.nextInt(balancerCount);
+            if (peer != selfIndex && peers.add(peer)) {
+                sendQuery(peer);
             }
         }
-        next = time.after(pauseMicros / 2 + (long) (random.nextDouble() * pauseMicros / 2), this::ask);
-        pauseMicros = Math.min(MOST_PAUSE_MICROS, 2 * pauseMicros);
+        nextQueryTimer = time.after(
+                queryIntervalMicros / 2 + (long) (random.nextDouble() * queryIntervalMicros / 2), this::queryPeers);
+        queryIntervalMicros = Math.min(MAX_QUERY_INTERVAL_MICROS, 2 * queryIntervalMicros);
     }
 
-    private void askOne(int peer) {
+    private void sendQuery(int peer) {
         long nonce = random.nextLong();
-        questions.put(nonce, new Asked(peer, time.now()));
-        sender.tell(peer, new ListMessage.Question(nonce, ageMillis()).encode());
+        pendingQueries.put(nonce, new PendingQuery(peer, time.now()));
+        sender.send(peer, new ListMessage.Query(nonce, listAgeMillis()).encode());
     }
 
-    private int ageMillis() {
-        return millisSince(confirmation.completeMicros());
+    private int listAgeMillis() {
+        return millisSince(confirmation.lastCompleteMicros());
     }
 
     /** Rounded up: what is told is never younger than it is. */
@@ -131,71 +132,73 @@
         return (int) Math.min(Integer.MAX_VALUE, (time.now() - micros + 999) / 1000);
     }
 
-    private int downMillis() {
-        long down = confirmation.unreachableMicros();
-        return time.now() - down < ListConfirmation.TOLD_MICROS ? millisSince(down) : ListMessage.NoAnswer.NOT_DOWN;
+    private int discoveryDownMillis() {
+        long downMicros = confirmation.lastUnreachableMicros();
+        return time.now() - downMicros < ListConfirmation.MAX_LIST_AGE_MICROS
+                ? millisSince(downMicros)
+                : ListMessage.NoNewerList.NOT_DOWN;
     }
 
     /** Takes a datagram of another balancer; false if it isn't about lists. */
-    public boolean heard(int from, byte[] content) {
-        if (!ListMessage.concerns(content)) {
+    public boolean heard(int from, byte[] datagram) {
+        if (!ListMessage.isListMessage(datagram)) {
             return false;
         }
-        ListMessage message = ListMessage.decode(content);
-        if (message instanceof ListMessage.Question question) {
-            answer(from, question);
-        } else if (message instanceof ListMessage.Answer answer) {
-            answered(from, answer);
-        } else if (message instanceof ListMessage.NoAnswer none) {
-            noAnswer(from, none);
+        ListMessage message = ListMessage.decode(datagram);
+        if (message instanceof ListMessage.Query query) {
+            sendReply(from, query);
+        } else if (message instanceof ListMessage.Reply reply) {
+            handleReply(from, reply);
+        } else if (message instanceof ListMessage.NoNewerList noNewerList) {
+            handleNoNewerList(from, noNewerList);
         } else {
             counters.add(Count.PEER_BAD);
         }
         return true;
     }
 
-    private void answer(int from, ListMessage.Question question) {
-        List<ListMessage.Answer> parts = confirmation.confirmed() && ageMillis() < question.ageMillis()
-                ? ListMessage.parts(question.nonce(), inventory.version(), ageMillis(), inventory.running())
+    private void sendReply(int from, ListMessage.Query query) {
+        List<ListMessage.Reply> parts = confirmation.isConfirmed() && listAgeMillis() < query.ageMillis()
+                ? ListMessage.toParts(query.nonce(), inventory.version(), listAgeMillis(), inventory.runningTags())
                 : List.of();
         if (parts.isEmpty()) {
-            sender.tell(from, new ListMessage.NoAnswer(question.nonce(), downMillis()).encode());
+            sender.send(from, new ListMessage.NoNewerList(query.nonce(), discoveryDownMillis()).encode());
         }
-        parts.forEach(part -> sender.tell(from, part.encode()));
+        parts.forEach(part -> sender.send(from, part.encode()));
     }
 
-    private void answered(int from, ListMessage.Answer answer) {
-        Asked asked = questions.get(answer.nonce());
-        if (asked == null || asked.peer != from) {
+    private void handleReply(int from, ListMessage.Reply reply) {
+        PendingQuery query = pendingQueries.get(reply.nonce());
+        if (query == null || query.peer != from) {
             counters.add(Count.PEER_BAD);
             return;
         }
-        asked.parts.put(answer.part(), answer);
-        if (asked.parts.size() < answer.parts()) {
+        query.parts.put(reply.partIndex(), reply);
+        if (query.parts.size() < reply.partCount()) {
             return;
         }
-        questions.remove(answer.nonce());
-        if (answer.version() < inventory.version()) {
+        pendingQueries.remove(reply.nonce());
+        if (reply.version() < inventory.version()) {
             return; // it knows less, of whatever time
         }
-        Set<Integer> running = new HashSet<>();
-        asked.parts.values().forEach(part -> running.addAll(part.running()));
-        ServerList list = inventory.stopAllBut(running, answer.version());
-        confirmation.complete(asked.atMicros - answer.ageMillis() * 1000L);
+        Set<Integer> runningTags = new HashSet<>();
+        query.parts.values().forEach(part -> runningTags.addAll(part.runningTags()));
+        ServerList list = inventory.stopAllExcept(runningTags, reply.version());
+        confirmation.recordComplete(query.sentMicros - reply.ageMillis() * 1000L);
         if (list != null) {
-            events.accept(list);
+            listener.accept(list);
         }
-        confirmed.run();
+        confirmedTask.run();
     }
 
-    private void noAnswer(int from, ListMessage.NoAnswer none) {
-        Asked asked = questions.remove(none.nonce());
-        if (asked == null || asked.peer != from) {
+    private void handleNoNewerList(int from, ListMessage.NoNewerList noNewerList) {
+        PendingQuery query = pendingQueries.remove(noNewerList.nonce());
+        if (query == null || query.peer != from) {
             counters.add(Count.PEER_BAD);
         } else {
-            confirmation.noneKnows(time.now());
-            if (none.downMillis() != ListMessage.NoAnswer.NOT_DOWN) {
-                confirmation.unreachable(asked.atMicros - none.downMillis() * 1000L);
+            confirmation.peerHasNoNewerList(time.now());
+            if (noNewerList.downMillis() != ListMessage.NoNewerList.NOT_DOWN) {
+                confirmation.recordUnreachable(query.sentMicros - noNewerList.downMillis() * 1000L);
             }
         }
     }
--- a/balancer/src/main/java/baymoor/inventory/ListLines.java
+++ b/balancer/src/main/java/baymoor/inventory/ListLines.java
@@ -12,121 +12,122 @@
 final class ListLines {
 
     /** What a watch says. */
-    interface Hearer {
-        void told(String object);
+    interface Listener {
+        void onObject(String object);
 
         /** Something that can't be read, which may have told of anything. */
-        void spoilt();
+        void onMalformed();
 
         /** The end of a line that belongs to no unfinished object: the watch lives. */
-        void alive();
+        void onHeartbeat();
     }
 
-    private final int longest;
-    private final Hearer hearer;
+    private final int maxObjectBytes;
+    private final Listener listener;
     private final ByteArrayOutputStream object = new ByteArrayOutputStream();
     /** Where the present line of the object begins. */
-    private int line;
+    private int lineStart;
 
     private int depth;
-    private boolean quoted;
+    private boolean inString;
     private boolean escaped;
     /** Whether this line holds what belongs to no object. */
-    private boolean strayed;
+    private boolean strayInput;
 
-    /** @param longest bytes of an object at the most */
-    ListLines(int longest, Hearer hearer) {
-        this.longest = longest;
-        this.hearer = hearer;
+    /** @param maxObjectBytes bytes of an object at the most */
+    ListLines(int maxObjectBytes, Listener listener) {
+        this.maxObjectBytes = maxObjectBytes;
+        this.listener = listener;
     }
 
     void feed(byte[] bytes) throws HttpException {
         for (byte b : bytes) {
             if (depth > 0 || b == '{') {
-                within(b);
+                feedObjectByte(b);
             } else if (b == '\n') {
-                end();
+                endLine();
             } else {
-                strayed |= b != ' ' && b != '\r' && b != '\t';
+                strayInput |= b != ' ' && b != '\r' && b != '\t';
             }
-            if (object.size() > longest) {
+            if (object.size() > maxObjectBytes) {
                 throw new HttpException("line too long");
             }
         }
     }
 
-    private void within(byte b) {
+    private void feedObjectByte(byte b) {
         if (b == '\n') {
-            lineEnds();
+            endObjectLine();
             return;
         }
         object.write(b);
         if (escaped) {
             escaped = false;
-        } else if (b == '\\' && quoted) {
+        } else if (b == '\\' && inString) {
             escaped = true;
         } else if (b == '"') {
-            quoted = !quoted;
-        } else if (!quoted) {
+            inString = !inString;
+        } else if (!inString) {
             depth += b == '{' ? 1 : b == '}' ? -1 : 0;
             if (depth == 0) {
-                String whole = object.toString(StandardCharsets.UTF_8);
-                clear();
-                hearer.told(whole);
+                String completeObject = object.toString(StandardCharsets.UTF_8);
+                resetObject();
+                listener.onObject(completeObject);
             }
         }
     }
 
-    private void lineEnds() {
-        String last = object.toString(StandardCharsets.UTF_8).substring(line).trim();
-        if (quoted || last.isEmpty()) {
-            clear();
-            strayed = true;
-            end();
-        } else if (line > 0 && wholeList(last)) {
-            clear();
-            hearer.spoilt();
-            hearer.told(last);
-            end();
+    private void endObjectLine() {
+        String lastLine =
+                object.toString(StandardCharsets.UTF_8).substring(lineStart).trim();
+        if (inString || lastLine.isEmpty()) {
+            resetObject();
+            strayInput = true;
+            endLine();
+        } else if (lineStart > 0 && isCompleteList(lastLine)) {
+            resetObject();
+            listener.onMalformed();
+            listener.onObject(lastLine);
+            endLine();
         } else {
             object.write(' ');
-            line = object.size();
+            lineStart = object.size();
         }
     }
 
-    private void end() {
-        if (strayed) {
-            strayed = false;
-            hearer.spoilt();
+    private void endLine() {
+        if (strayInput) {
+            strayInput = false;
+            listener.onMalformed();
         }
-        hearer.alive();
+        listener.onHeartbeat();
     }
 
-    private void clear() {
+    private void resetObject() {
         object.reset();
-        line = 0;
+        lineStart = 0;
         depth = 0;
-        quoted = false;
+        inString = false;
         escaped = false;
     }
 
     /** Whether a line, which was taken for a part of an object, is one that says who is listed. */
-    private static boolean wholeList(String text) {
+    private static boolean isCompleteList(String text) {
         if (!text.startsWith("{") || !text.contains("\"endpoints\"")) {
             return false;
         }
-        int open = 0;
-        boolean within = false;
+        int openBraces = 0;
+        boolean inString = false;
         for (int i = 0; i < text.length(); i++) {
             char c = text.charAt(i);
-            if (within && c == '\\') {
+            if (inString && c == '\\') {
                 i++;
             } else if (c == '"') {
-                within = !within;
-            } else if (!within) {
-                open += c == '{' ? 1 : c == '}' ? -1 : 0;
+                inString = !inString;
+            } else if (!inString) {
+                openBraces += c == '{' ? 1 : c == '}' ? -1 : 0;
             }
         }
-        return open == 0 && !within;
+        return openBraces == 0 && !inString;
     }
 }
--- a/balancer/src/main/java/baymoor/inventory/ListMessage.java
+++ b/balancer/src/main/java/baymoor/inventory/ListMessage.java
@@ -11,18 +11,18 @@
  */
 sealed interface ListMessage {
 
-    byte QUESTION = 0x51;
-    byte ANSWER = 0x52;
-    byte NO_ANSWER = 0x53;
+    byte QUERY = 0x51;
+    byte REPLY = 0x52;
+    byte NO_NEWER_LIST = 0x53;
 
     /** Which running hosts fit one datagram. */
-    int MOST_TAGS = (Peers.LONGEST - Answer.HEAD_BYTES) / Integer.BYTES;
+    int MAX_TAGS = (Peers.LONGEST - Reply.HEADER_BYTES) / Integer.BYTES;
     /** Datagrams of one answer at the most: some 1,800 hosts. */
-    int MOST_PARTS = 32;
+    int MAX_PARTS = 32;
 
     /** Whether a datagram is of these kinds, readable or not. */
-    static boolean concerns(byte[] content) {
-        return content.length > 0 && content[0] >= QUESTION && content[0] <= NO_ANSWER;
+    static boolean isListMessage(byte[] datagram) {
+        return datagram.length > 0 && datagram[0] >= QUERY && datagram[0] <= NO_NEWER_LIST;
     }
 
     /** Names a host by 32 bits of its id. Two that share them are one in 4 billion, and the peer's word is just not heard then. */
@@ -33,13 +33,13 @@
     byte[] encode();
 
     /** Asks for what runs by the list of someone who knows it later than {@code ageMillis} ago. */
-    record Question(long nonce, int ageMillis) implements ListMessage {
+    record Query(long nonce, int ageMillis) implements ListMessage {
         static final int BYTES = 1 + Long.BYTES + Integer.BYTES;
 
         @Override
         public byte[] encode() {
             return ByteBuffer.allocate(BYTES)
-                    .put(QUESTION)
+                    .put(QUERY)
                     .putLong(nonce)
                     .putInt(ageMillis)
                     .array();
@@ -47,33 +47,33 @@
     }
 
     /** One of the parts of an answer: hosts that run by a list of this version, complete that long ago. */
-    record Answer(long nonce, long version, int ageMillis, int part, int parts, List<Integer> running)
+    record Reply(long nonce, long version, int ageMillis, int partIndex, int partCount, List<Integer> runningTags)
             implements ListMessage {
-        static final int HEAD_BYTES = 1 + 2 * Long.BYTES + Integer.BYTES + 2;
+        static final int HEADER_BYTES = 1 + 2 * Long.BYTES + Integer.BYTES + 2;
 
         @Override
         public byte[] encode() {
-            ByteBuffer b = ByteBuffer.allocate(HEAD_BYTES + Integer.BYTES * running.size())
-                    .put(ANSWER)
+            ByteBuffer buffer = ByteBuffer.allocate(HEADER_BYTES + Integer.BYTES * runningTags.size())
+                    .put(REPLY)
                     .putLong(nonce)
                     .putLong(version)
                     .putInt(ageMillis)
-                    .put((byte) part)
-                    .put((byte) parts);
-            running.forEach(b::putInt);
-            return b.array();
+                    .put((byte) partIndex)
+                    .put((byte) partCount);
+            runningTags.forEach(buffer::putInt);
+            return buffer.array();
         }
     }
 
     /** Says that the sender knows no later list, and how long ago discovery was found to be down; {@link #NOT_DOWN} if not. */
-    record NoAnswer(long nonce, int downMillis) implements ListMessage {
+    record NoNewerList(long nonce, int downMillis) implements ListMessage {
         static final int NOT_DOWN = -1;
         static final int BYTES = 1 + Long.BYTES + Integer.BYTES;
 
         @Override
         public byte[] encode() {
             return ByteBuffer.allocate(BYTES)
-                    .put(NO_ANSWER)
+                    .put(NO_NEWER_LIST)
                     .putLong(nonce)
                     .putInt(downMillis)
                     .array();
@@ -81,57 +81,64 @@
     }
 
     /** The answer's datagrams, or none where the list is too long for them. */
-    static List<Answer> parts(long nonce, long version, int ageMillis, List<Integer> running) {
-        int parts = Math.max(1, (running.size() + MOST_TAGS - 1) / MOST_TAGS);
-        List<Answer> answers = new ArrayList<>();
-        for (int part = 0; part < parts && parts <= MOST_PARTS; part++) {
-            int end = Math.min(running.size(), (part + 1) * MOST_TAGS);
-            answers.add(new Answer(nonce, version, ageMillis, part, parts, running.subList(part * MOST_TAGS, end)));
+    static List<Reply> toParts(long nonce, long version, int ageMillis, List<Integer> runningTags) {
+        int partCount = Math.max(1, (runningTags.size() + MAX_TAGS - 1) / MAX_TAGS);
+        List<Reply> replies = new ArrayList<>();
+        for (int partIndex = 0; partIndex < partCount && partCount <= MAX_PARTS; partIndex++) {
+            int end = Math.min(runningTags.size(), (partIndex + 1) * MAX_TAGS);
+            replies.add(new Reply(
+                    nonce, version, ageMillis, partIndex, partCount, runningTags.subList(partIndex * MAX_TAGS, end)));
         }
-        return answers;
+        return replies;
     }
 
     /** Reads a datagram; null for one that no version of this program sends. */
-    static ListMessage decode(byte[] content) {
-        if (!concerns(content)) {
+    static ListMessage decode(byte[] datagram) {
+        if (!isListMessage(datagram)) {
             return null;
         }
-        ByteBuffer b = ByteBuffer.wrap(content, 1, content.length - 1);
-        if (content[0] == QUESTION) {
-            return content.length == Question.BYTES ? question(b) : null;
+        ByteBuffer buffer = ByteBuffer.wrap(datagram, 1, datagram.length - 1);
+        if (datagram[0] == QUERY) {
+            return datagram.length == Query.BYTES ? decodeQuery(buffer) : null;
         }
-        if (content[0] == NO_ANSWER) {
-            return content.length == NoAnswer.BYTES ? noAnswer(b) : null;
+        if (datagram[0] == NO_NEWER_LIST) {
+            return datagram.length == NoNewerList.BYTES ? decodeNoNewerList(buffer) : null;
         }
-        return content.length >= Answer.HEAD_BYTES ? answer(b) : null;
+        return datagram.length >= Reply.HEADER_BYTES ? decodeReply(buffer) : null;
     }
 
-    private static Question question(ByteBuffer b) {
-        Question question = new Question(b.getLong(), b.getInt());
-        return question.ageMillis >= 0 ? question : null;
+    private static Query decodeQuery(ByteBuffer buffer) {
+        Query query = new Query(buffer.getLong(), buffer.getInt());
+        return query.ageMillis >= 0 ? query : null;
     }
 
-    private static NoAnswer noAnswer(ByteBuffer b) {
-        NoAnswer none = new NoAnswer(b.getLong(), b.getInt());
-        return none.downMillis >= NoAnswer.NOT_DOWN ? none : null;
+    private static NoNewerList decodeNoNewerList(ByteBuffer buffer) {
+        NoNewerList message = new NoNewerList(buffer.getLong(), buffer.getInt());
+        return message.downMillis >= NoNewerList.NOT_DOWN ? message : null;
     }
 
-    private static Answer answer(ByteBuffer b) {
-        long nonce = b.getLong();
-        long version = b.getLong();
-        int ageMillis = b.getInt();
-        int part = b.get();
-        int parts = b.get();
-        int tags = b.remaining() / Integer.BYTES;
-        boolean whole =
-                b.remaining() % Integer.BYTES == 0 && tags <= MOST_TAGS && (part == parts - 1 || tags == MOST_TAGS);
-        if (!whole || version < 0 || ageMillis < 0 || part < 0 || part >= parts || parts > MOST_PARTS) {
+    private static Reply decodeReply(ByteBuffer buffer) {
+        long nonce = buffer.getLong();
+        long version = buffer.getLong();
+        int ageMillis = buffer.getInt();
+        int partIndex = buffer.get();
+        int partCount = buffer.get();
+        int tagCount = buffer.remaining() / Integer.BYTES;
+        boolean wellFormed = buffer.remaining() % Integer.BYTES == 0
+                && tagCount <= MAX_TAGS
+                && (partIndex == partCount - 1 || tagCount == MAX_TAGS);
+        if (!wellFormed
+                || version < 0
+                || ageMillis < 0
+                || partIndex < 0
+                || partIndex >= partCount
+                || partCount > MAX_PARTS) {
             return null;
         }
-        List<Integer> running = new ArrayList<>(tags);
-        while (b.hasRemaining()) {
-            running.add(b.getInt());
+        List<Integer> runningTags = new ArrayList<>(tagCount);
+        while (buffer.hasRemaining()) {
+            runningTags.add(buffer.getInt());
         }
-        return new Answer(nonce, version, ageMillis, part, parts, running);
+        return new Reply(nonce, version, ageMillis, partIndex, partCount, runningTags);
     }
 }
--- a/balancer/src/test/java/baymoor/inventory/CallPacingTest.java
+++ b/balancer/src/test/java/baymoor/inventory/CallPacingTest.java
@@ -3,7 +3,7 @@
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
 
-import baymoor.inventory.CallPacing.End;
+import baymoor.inventory.CallPacing.Outcome;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.IntStream;
@@ -20,15 +20,15 @@
     }
 
     private static List<Long> pauses(List<CallPacing> tier) {
-        return tier.stream().map(CallPacing::pauseMicros).sorted().toList();
+        return tier.stream().map(CallPacing::nextDelayMicros).sorted().toList();
     }
 
     @Test
     public void oneThatIsAloneNeverWaits() {
         CallPacing pacing = new CallPacing(1, 0, 7);
         for (int i = 0; i < 9; i++) {
-            assertEquals(0, pacing.pauseMicros());
-            pacing.ended(End.TURNED_DOWN);
+            assertEquals(0, pacing.nextDelayMicros());
+            pacing.recordOutcome(Outcome.REJECTED);
         }
     }
 
@@ -46,7 +46,7 @@
                             callers + " callers, turn " + slot + ": " + pause,
                             pause >= slot * window / callers - 1 && pause <= (slot + 1) * window / callers + 1);
                 }
-                tier.forEach(pacing -> pacing.ended(End.TURNED_DOWN));
+                tier.forEach(pacing -> pacing.recordOutcome(Outcome.REJECTED));
             }
         }
     }
@@ -57,7 +57,7 @@
             for (CallPacing pacing : tier(callers)) {
                 List<Long> pauses = new ArrayList<>();
                 for (int round = 0; round < 12; round++) {
-                    pauses.add(pacing.pauseMicros());
+                    pauses.add(pacing.nextDelayMicros());
                 }
                 double mean = pauses.stream().mapToLong(p -> p).average().orElse(0) / pacing.windowMicros();
                 assertTrue(callers + " callers, mean " + mean, mean > 0.3 && mean < 0.7);
@@ -77,35 +77,35 @@
         CallPacing pacing = new CallPacing(100, 3, 1);
         long first = pacing.windowMicros();
         for (int doublings : new int[] {1, 2, 3, 3, 3}) {
-            pacing.ended(End.TURNED_DOWN);
+            pacing.recordOutcome(Outcome.REJECTED);
             assertEquals(first << doublings, pacing.windowMicros());
         }
-        pacing.ended(End.SILENT);
+        pacing.recordOutcome(Outcome.TIMED_OUT);
         assertEquals("a dead connection says nothing of discovery", first << 3, pacing.windowMicros());
-        pacing.ended(End.ANSWERED);
+        pacing.recordOutcome(Outcome.ANSWERED);
         assertEquals(first, pacing.windowMicros());
-        pacing.ended(End.TURNED_DOWN);
-        pacing.resumed();
+        pacing.recordOutcome(Outcome.REJECTED);
+        pacing.discoveryRecovered();
         assertEquals("once turned down", first << 1, pacing.windowMicros());
-        pacing.ended(End.TURNED_DOWN);
-        pacing.ended(End.TURNED_DOWN);
-        pacing.resumed();
+        pacing.recordOutcome(Outcome.REJECTED);
+        pacing.recordOutcome(Outcome.REJECTED);
+        pacing.discoveryRecovered();
         assertEquals("others have the list", first << 2, pacing.windowMicros());
-        pacing.ended(End.REFUSED);
+        pacing.recordOutcome(Outcome.CONNECTION_FAILED);
         assertEquals("who takes no connection has no queue", first, pacing.windowMicros());
     }
 
     /** Discovery is known to let calls wait 2 and 3 s: what waits its turn there is not dead. */
     @Test
     public void aCallIsTakenForDeadLaterWhereItMayJustBeWaitingItsTurn() {
-        assertEquals(2_000_000, new CallPacing(1, 0, 1).deadAfterMicros());
-        assertEquals(2_000_000, new CallPacing(20, 0, 1).deadAfterMicros());
+        assertEquals(2_000_000, new CallPacing(1, 0, 1).hedgeDelayMicros());
+        assertEquals(2_000_000, new CallPacing(20, 0, 1).hedgeDelayMicros());
         for (int callers : new int[] {110, 640}) {
-            assertTrue(new CallPacing(callers, 0, 1).deadAfterMicros() > 3_000_000);
+            assertTrue(new CallPacing(callers, 0, 1).hedgeDelayMicros() > 3_000_000);
         }
         CallPacing overbooked = new CallPacing(5, 0, 1);
-        overbooked.ended(End.TURNED_DOWN);
-        assertTrue(overbooked.deadAfterMicros() > 3_000_000);
+        overbooked.recordOutcome(Outcome.REJECTED);
+        assertTrue(overbooked.hedgeDelayMicros() > 3_000_000);
     }
 
     @Test
@@ -113,7 +113,7 @@
         CallPacing one = new CallPacing(100, 9, 5);
         CallPacing other = new CallPacing(100, 9, 5);
         for (int i = 0; i < 50; i++) {
-            assertEquals(one.pauseMicros(), other.pauseMicros());
+            assertEquals(one.nextDelayMicros(), other.nextDelayMicros());
         }
     }
 }
--- a/balancer/src/test/java/baymoor/inventory/DiscoveryTurnsTest.java
+++ b/balancer/src/test/java/baymoor/inventory/DiscoveryTurnsTest.java
@@ -144,7 +144,7 @@
         discovery.heardFromOthers();
         time.pass(SECOND);
         assertEquals("they know no more", before, links.size());
-        confirmation.complete(time.now());
+        confirmation.recordComplete(time.now());
         discovery.heardFromOthers();
         long since = time.now();
         while (links.size() == before) {
@@ -165,38 +165,38 @@
         ordered();
         last().events.opened();
         last().in(HEAD);
-        assertFalse("headers tell nothing", confirmation.confirmed());
+        assertFalse("headers tell nothing", confirmation.isConfirmed());
         last().in(list(3));
-        assertTrue(confirmation.watched());
+        assertTrue(confirmation.hasLiveWatch());
         time.pass(2 * SECOND);
         last().in(chunk("\n"));
-        assertEquals("an empty line says that nothing is missing", time.now(), confirmation.completeMicros());
+        assertEquals("an empty line says that nothing is missing", time.now(), confirmation.lastCompleteMicros());
     }
 
     @Test
     public void aLineThatCannotBeReadConfirmsNothingUntilTheWholeListIsThere() {
         FakeLink watch = watched();
-        long complete = confirmation.completeMicros();
+        long complete = confirmation.lastCompleteMicros();
         time.pass(SECOND);
         watch.in(chunk("nonsense\n") + chunk("\n"));
-        assertEquals(complete, confirmation.completeMicros());
+        assertEquals(complete, confirmation.lastCompleteMicros());
         long asked = time.now();
         time.pass(SECOND);
         last().events.opened();
         last().in("HTTP/1.1 200 OK\r\nContent-Length: 42\r\n\r\n{\"index\":5,\"snapshot\":true,\"endpoints\":[]}");
-        assertEquals("as old as the question", asked, confirmation.completeMicros());
+        assertEquals("as old as the question", asked, confirmation.lastCompleteMicros());
         watch.in(chunk("\n"));
-        assertEquals(time.now(), confirmation.completeMicros());
+        assertEquals(time.now(), confirmation.lastCompleteMicros());
     }
 
     @Test
     public void aWatchThatEndsOrFallsSilentConfirmsNoMore() {
         watched().events.closed();
-        assertFalse(confirmation.watched());
+        assertFalse(confirmation.hasLiveWatch());
         assertEquals(1, unwatched);
         watched();
         time.pass(2_600_000);
-        assertFalse(confirmation.watched());
+        assertFalse(confirmation.hasLiveWatch());
         time.pass(9_000_000);
         assertEquals("told once", 2, unwatched);
         assertEquals(ListKind.FAILED, told.get(told.size() - 1).kind());
--- a/balancer/src/test/java/baymoor/inventory/InventoryTest.java
+++ b/balancer/src/test/java/baymoor/inventory/InventoryTest.java
@@ -72,14 +72,14 @@
     @Test
     public void entriesBecomeServersOfTheModule() {
         Server s = inventory
-                .told(list(4, true, entry("s-a", "in_service", 9)))
+                .applyWatchObject(list(4, true, entry("s-a", "in_service", 9)))
                 .servers()
                 .get(0);
         assertEquals(new Server(Inventory.hash("s-a"), 1.5, "t", State.RUNNING, "a", 4_000, 3), s);
         assertEquals(
                 0,
                 inventory
-                        .told(list(5, false, entry("s-a", "in_service", 0)))
+                        .applyWatchObject(list(5, false, entry("s-a", "in_service", 0)))
                         .servers()
                         .get(0)
                         .startedMicros());
@@ -89,25 +89,25 @@
     @Test
     public void whoIsAbsentFromAWholeListIsGone() {
         long a = inventory
-                .told(list(1, true, entry("s-a", "in_service", 0)))
+                .applyWatchObject(list(1, true, entry("s-a", "in_service", 0)))
                 .servers()
                 .get(0)
                 .id();
-        inventory.told(list(2, false, entry("s-b", "terminating", 0)));
+        inventory.applyWatchObject(list(2, false, entry("s-b", "terminating", 0)));
         assertEquals(State.RUNNING, inventory.entry(a).state());
         assertEquals(State.DRAINING, inventory.entry(Inventory.hash("s-b")).state());
-        inventory.told(list(3, true, entry("s-b", "in_service", 0)));
+        inventory.applyWatchObject(list(3, true, entry("s-b", "in_service", 0)));
         assertEquals(State.GONE, inventory.entry(a).state());
     }
 
     @Test
     public void whoIsGoneIsForgottenOnceNothingUsesIt() {
         long a = inventory
-                .told(list(1, true, entry("s-a", "in_service", 0)))
+                .applyWatchObject(list(1, true, entry("s-a", "in_service", 0)))
                 .servers()
                 .get(0)
                 .id();
-        inventory.told(list(2, true, entry("s-b", "in_service", 0)));
+        inventory.applyWatchObject(list(2, true, entry("s-b", "in_service", 0)));
         inventory.forget(id -> id == a);
         assertEquals(State.GONE, inventory.entry(a).state());
         inventory.forget(id -> false);
@@ -122,7 +122,7 @@
         assertEquals(
                 1,
                 inventory
-                        .told(list(1, true, odd, entry("s-a", "in_service", 0)))
+                        .applyWatchObject(list(1, true, odd, entry("s-a", "in_service", 0)))
                         .servers()
                         .size());
         assertEquals(4, counters.get(Count.INVENTORY_BAD));
--- a/balancer/src/test/java/baymoor/inventory/ListConfirmationTest.java
+++ b/balancer/src/test/java/baymoor/inventory/ListConfirmationTest.java
@@ -4,7 +4,7 @@
 import static org.junit.Assert.assertFalse;
 import static org.junit.Assert.assertTrue;
 
-import baymoor.inventory.CallPacing.End;
+import baymoor.inventory.CallPacing.Outcome;
 import org.junit.Test;
 
 public class ListConfirmationTest {
@@ -21,56 +21,56 @@
 
     @Test
     public void aListOfUnknownAgeMayBeUsedForSixSecondsFromTheStart() {
-        assertFalse(confirmation.confirmed());
+        assertFalse(confirmation.isConfirmed());
         lastsUntil(START + 6 * SECOND);
     }
 
     @Test
     public void aWatchConfirmsForAsLongAsItLivesAndSixSecondsFromItsLastSign() {
-        confirmation.watchAlive(START + 3 * SECOND);
+        confirmation.watchHeartbeat(START + 3 * SECOND);
         assertTrue(confirmation.current(START + 1000 * SECOND));
-        confirmation.watchAlive(START + 50 * SECOND);
+        confirmation.watchHeartbeat(START + 50 * SECOND);
         confirmation.watchLost();
         lastsUntil(START + 56 * SECOND);
     }
 
     @Test
     public void whatIsOlderTakesNothingBack() {
-        confirmation.complete(START + 9 * SECOND);
-        confirmation.complete(START + 2 * SECOND);
+        confirmation.recordComplete(START + 9 * SECOND);
+        confirmation.recordComplete(START + 2 * SECOND);
         lastsUntil(START + 15 * SECOND);
-        assertEquals(START + 9 * SECOND, confirmation.completeMicros());
+        assertEquals(START + 9 * SECOND, confirmation.lastCompleteMicros());
     }
 
     @Test
     public void whereDiscoveryTakesNoConnectionTheTimeIsCountedAnew() {
-        confirmation.failed(End.REFUSED, START + 5 * SECOND, START + 5 * SECOND + 1);
+        confirmation.callFailed(Outcome.CONNECTION_FAILED, START + 5 * SECOND, START + 5 * SECOND + 1);
         lastsUntil(START + 11 * SECOND);
     }
 
     /** It waits for its turn as long where too many call as where discovery is down, and ends in the same way. */
     @Test
     public void aCallTurnedDownMayMeanDownWhereNobodyElseKnowsMore() {
-        confirmation.failed(End.TURNED_DOWN, START + 2 * SECOND, START + 4 * SECOND);
+        confirmation.callFailed(Outcome.REJECTED, START + 2 * SECOND, START + 4 * SECOND);
         lastsUntil(START + 6 * SECOND);
-        confirmation.noneKnows(START + 4 * SECOND);
-        confirmation.failed(End.TURNED_DOWN, START + 3 * SECOND, START + 5 * SECOND);
+        confirmation.peerHasNoNewerList(START + 4 * SECOND);
+        confirmation.callFailed(Outcome.REJECTED, START + 3 * SECOND, START + 5 * SECOND);
         lastsUntil(START + 9 * SECOND);
-        confirmation.failed(End.TURNED_DOWN, START + 8 * SECOND, START + 8 * SECOND);
+        confirmation.callFailed(Outcome.REJECTED, START + 8 * SECOND, START + 8 * SECOND);
         lastsUntil(START + 9 * SECOND);
     }
 
     @Test
     public void whereThereIsNobodyToAskACallTurnedDownMeansDown() {
         ListConfirmation alone = ListConfirmation.from(START, false);
-        alone.failed(End.TURNED_DOWN, START + 5 * SECOND, START + 5 * SECOND + 9);
+        alone.callFailed(Outcome.REJECTED, START + 5 * SECOND, START + 5 * SECOND + 9);
         assertTrue(alone.current(START + 10 * SECOND));
     }
 
     @Test
     public void aDeadConnectionSaysNothingOfDiscovery() {
-        confirmation.noneKnows(START + 5 * SECOND);
-        confirmation.failed(End.SILENT, START + SECOND, START + 5 * SECOND);
+        confirmation.peerHasNoNewerList(START + 5 * SECOND);
+        confirmation.callFailed(Outcome.TIMED_OUT, START + SECOND, START + 5 * SECOND);
         lastsUntil(START + 6 * SECOND);
     }
 
--- a/balancer/src/test/java/baymoor/inventory/ListExchangeTest.java
+++ b/balancer/src/test/java/baymoor/inventory/ListExchangeTest.java
@@ -107,8 +107,8 @@
 
     /** Tells a node by its own watch, which lives from now on. */
     private void watch(int node, JSONObject list) {
-        nodes.get(node).inventory.told(list.toString());
-        nodes.get(node).confirmation.watchAlive(time.now());
+        nodes.get(node).inventory.applyWatchObject(list.toString());
+        nodes.get(node).confirmation.watchHeartbeat(time.now());
     }
 
     private void seekAll() {
@@ -148,7 +148,7 @@
             for (Node node : nodes) {
                 assertEquals(State.DRAINING, node.state(A));
                 assertEquals(State.RUNNING, node.state(B));
-                assertTrue(node.confirmation.confirmed());
+                assertTrue(node.confirmation.isConfirmed());
             }
         }
     }
@@ -175,7 +175,7 @@
         seekAll();
         time.pass(20 * SECOND);
         for (Node node : nodes) {
-            assertTrue(node.confirmation.completeMicros() <= watched);
+            assertTrue(node.confirmation.lastCompleteMicros() <= watched);
             assertFalse(node.confirmation.current(watched + 26 * SECOND));
         }
     }
@@ -204,7 +204,7 @@
     public void aPeersWordBringsNobodyBack() {
         tier(2);
         Node asker = nodes.get(0);
-        asker.inventory.told(list(2, false, draining("a")).toString());
+        asker.inventory.applyWatchObject(list(2, false, draining("a")).toString());
         watch(1, list(3, false, running("a"), draining("b"), running("c")));
         asker.exchange.seek();
         time.pass(SECOND);
@@ -221,12 +221,13 @@
     public void whoKnowsLessIsNotHeard() {
         tier(2);
         Node asker = nodes.get(0);
-        asker.inventory.told(list(9, true, running("a"), running("b")).toString());
+        asker.inventory.applyWatchObject(
+                list(9, true, running("a"), running("b")).toString());
         watch(1, list(8, true, running("a")));
         asker.exchange.seek();
         time.pass(SECOND);
         assertEquals(State.RUNNING, asker.state(B));
-        assertFalse(asker.confirmation.confirmed());
+        assertFalse(asker.confirmation.isConfirmed());
     }
 
     @Test
@@ -236,8 +237,8 @@
         watch(1, list(5, false, draining("a")));
         asker.exchange.seek();
         time.pass(SECOND);
-        ServerList older =
-                asker.inventory.told(list(4, true, running("a"), running("b")).toString());
+        ServerList older = asker.inventory.applyWatchObject(
+                list(4, true, running("a"), running("b")).toString());
         assertEquals("a list from before the stop", State.DRAINING, asker.state(A));
         assertEquals(
                 List.of(State.DRAINING, State.RUNNING),
@@ -245,7 +246,7 @@
                         .sorted((x, y) -> Long.compare(x.id() == A ? 0 : 1, y.id() == A ? 0 : 1))
                         .map(Server::state)
                         .toList());
-        ServerList lifted = asker.inventory.told(list(5, false).toString());
+        ServerList lifted = asker.inventory.applyWatchObject(list(5, false).toString());
         assertEquals("nothing said of it since: it runs", State.RUNNING, asker.state(A));
         assertEquals(ListKind.WHOLE, lifted.kind());
         assertEquals(2, lifted.servers().size());
@@ -258,7 +259,7 @@
         seekAll();
         for (int second = 0; second < 30; second++) {
             Node finds = nodes.get(random.nextInt(100));
-            finds.confirmation.failed(CallPacing.End.REFUSED, time.now(), time.now());
+            finds.confirmation.callFailed(CallPacing.Outcome.CONNECTION_FAILED, time.now(), time.now());
             time.pass(SECOND);
         }
         nodes.forEach(node -> assertTrue(node.confirmation.current(time.now())));
@@ -270,13 +271,15 @@
     public void aServiceThatCountsAnewLiftsAStopToo() {
         tier(2);
         Node asker = nodes.get(0);
-        asker.inventory.told(list(500, true, running("a"), running("b")).toString());
+        asker.inventory.applyWatchObject(
+                list(500, true, running("a"), running("b")).toString());
         watch(1, list(501, true, running("b")));
         asker.exchange.seek();
         time.pass(SECOND);
         assertEquals(State.DRAINING, asker.state(A));
         for (int i = 0; i < 3; i++) {
-            asker.inventory.told(list(3, true, running("a"), running("b")).toString());
+            asker.inventory.applyWatchObject(
+                    list(3, true, running("a"), running("b")).toString());
         }
         assertEquals(3, asker.inventory.version());
         assertEquals(State.RUNNING, asker.state(A));
@@ -286,11 +289,11 @@
     public void anAnswerToNoQuestionIsCountedAndDropped() {
         tier(3);
         Node node = nodes.get(0);
-        node.exchange.heard(1, new ListMessage.Answer(1, 9, 0, 0, 1, List.of()).encode());
-        node.exchange.heard(1, new ListMessage.NoAnswer(1, 0).encode());
+        node.exchange.heard(1, new ListMessage.Reply(1, 9, 0, 0, 1, List.of()).encode());
+        node.exchange.heard(1, new ListMessage.NoNewerList(1, 0).encode());
         assertEquals(2, node.counters.get(Count.PEER_BAD));
         assertEquals(State.RUNNING, node.state(A));
-        assertFalse(node.confirmation.confirmed());
+        assertFalse(node.confirmation.isConfirmed());
     }
 
     @Test
@@ -309,7 +312,7 @@
         time.pass(30 * SECOND);
         for (Node node : nodes) {
             assertEquals(State.RUNNING, node.state(A));
-            assertEquals(node.number == 0, node.confirmation.confirmed());
+            assertEquals(node.number == 0, node.confirmation.isConfirmed());
             assertTrue(node.counters.get(Count.PEER_BAD) > 0);
         }
     }
--- a/balancer/src/test/java/baymoor/inventory/ListMessageTest.java
+++ b/balancer/src/test/java/baymoor/inventory/ListMessageTest.java
@@ -20,11 +20,11 @@
     @Test
     public void whatIsWrittenIsReadAgain() {
         for (ListMessage message : List.of(
-                new ListMessage.Question(-7, 1234),
-                new ListMessage.NoAnswer(Long.MIN_VALUE, ListMessage.NoAnswer.NOT_DOWN),
-                new ListMessage.NoAnswer(3, 0),
-                new ListMessage.Answer(5, 41, 0, 0, 1, List.of()),
-                new ListMessage.Answer(5, 41, 99, 1, 2, tags(3)))) {
+                new ListMessage.Query(-7, 1234),
+                new ListMessage.NoNewerList(Long.MIN_VALUE, ListMessage.NoNewerList.NOT_DOWN),
+                new ListMessage.NoNewerList(3, 0),
+                new ListMessage.Reply(5, 41, 0, 0, 1, List.of()),
+                new ListMessage.Reply(5, 41, 99, 1, 2, tags(3)))) {
             assertEquals(message, ListMessage.decode(message.encode()));
         }
     }
@@ -32,16 +32,16 @@
     @Test
     public void aListIsSplitIntoDatagramsThatFit() {
         for (int hosts : new int[] {0, 1, 58, 59, 200, 1_856}) {
-            List<ListMessage.Answer> parts = ListMessage.parts(1, 2, 3, tags(hosts));
+            List<ListMessage.Reply> parts = ListMessage.toParts(1, 2, 3, tags(hosts));
             assertEquals(
                     tags(hosts),
-                    parts.stream().flatMap(p -> p.running().stream()).toList());
-            for (ListMessage.Answer part : parts) {
+                    parts.stream().flatMap(p -> p.runningTags().stream()).toList());
+            for (ListMessage.Reply part : parts) {
                 assertTrue(part.encode().length <= 256);
                 assertEquals(part, ListMessage.decode(part.encode()));
             }
         }
-        assertEquals("too long a list is no answer", List.of(), ListMessage.parts(1, 2, 3, tags(1_857)));
+        assertEquals("too long a list is no answer", List.of(), ListMessage.toParts(1, 2, 3, tags(1_857)));
     }
 
     /** Older programs look at the first byte only, and at nothing shorter than their own message of 45 bytes. */
@@ -49,27 +49,27 @@
     public void messagesOfTheDecisionsAreNoneOfThese() {
         byte[] figures = new byte[45];
         figures[0] = 1;
-        assertFalse(ListMessage.concerns(figures));
-        assertFalse(ListMessage.concerns(new byte[0]));
-        assertTrue(ListMessage.concerns(new ListMessage.NoAnswer(1, 0).encode()));
+        assertFalse(ListMessage.isListMessage(figures));
+        assertFalse(ListMessage.isListMessage(new byte[0]));
+        assertTrue(ListMessage.isListMessage(new ListMessage.NoNewerList(1, 0).encode()));
     }
 
     @Test
     public void whatNobodySendsIsNotRead() {
-        byte[] answer = new ListMessage.Answer(5, 41, 99, 1, 2, tags(3)).encode();
+        byte[] answer = new ListMessage.Reply(5, 41, 99, 1, 2, tags(3)).encode();
         for (int length = 0; length < answer.length; length++) {
             byte[] cut = java.util.Arrays.copyOf(answer, length);
             assertEquals("cut to " + length, length >= 23 && (length - 23) % 4 == 0, ListMessage.decode(cut) != null);
         }
-        assertNull(ListMessage.decode(new ListMessage.Answer(5, 41, 99, 2, 2, tags(3)).encode()));
-        assertNull(ListMessage.decode(new ListMessage.Answer(5, 41, 99, -1, 2, tags(3)).encode()));
-        assertNull(ListMessage.decode(new ListMessage.Answer(5, 41, 99, 0, 2, tags(3)).encode()));
-        assertNull(ListMessage.decode(new ListMessage.Answer(5, 41, -1, 0, 1, tags(3)).encode()));
-        assertNull(ListMessage.decode(new ListMessage.Answer(5, -1, 0, 0, 1, tags(3)).encode()));
-        assertNull(ListMessage.decode(new ListMessage.Answer(5, 1, 0, 0, 33, tags(58)).encode()));
-        assertNull(ListMessage.decode(new ListMessage.Answer(5, 1, 0, 0, 1, tags(59)).encode()));
-        assertNull(ListMessage.decode(new ListMessage.Question(5, -1).encode()));
-        assertNull(ListMessage.decode(new ListMessage.NoAnswer(5, -2).encode()));
+        assertNull(ListMessage.decode(new ListMessage.Reply(5, 41, 99, 2, 2, tags(3)).encode()));
+        assertNull(ListMessage.decode(new ListMessage.Reply(5, 41, 99, -1, 2, tags(3)).encode()));
+        assertNull(ListMessage.decode(new ListMessage.Reply(5, 41, 99, 0, 2, tags(3)).encode()));
+        assertNull(ListMessage.decode(new ListMessage.Reply(5, 41, -1, 0, 1, tags(3)).encode()));
+        assertNull(ListMessage.decode(new ListMessage.Reply(5, -1, 0, 0, 1, tags(3)).encode()));
+        assertNull(ListMessage.decode(new ListMessage.Reply(5, 1, 0, 0, 33, tags(58)).encode()));
+        assertNull(ListMessage.decode(new ListMessage.Reply(5, 1, 0, 0, 1, tags(59)).encode()));
+        assertNull(ListMessage.decode(new ListMessage.Query(5, -1).encode()));
+        assertNull(ListMessage.decode(new ListMessage.NoNewerList(5, -2).encode()));
     }
 
     @Test
