--- a/balancer/src/main/java/baymoor/inventory/Discovery.java
+++ b/balancer/src/main/java/baymoor/inventory/Discovery.java
@@ -21,35 +21,34 @@
 import org.json.JSONException;
 
 /**
- * Calls discovery: the list once, or a watch. Each call that fails, and a watch that breaks or falls silent, is told as FAILED; when
- * to ask again is the decisions' to say. An answered watch is given up only once another one has answered: when it fell silent,
- * and when discovery moves, where nothing has failed then. A watch that is not answered soon is asked for a second time beside it.
+ * Client of the discovery service: fetches the whole list once, or watches it for changes. Lists, failed calls and lost
+ * watches are reported to the listener as {@link ServerList} events; the decision module says when to call again. An
+ * established watch is closed only once its successor has been established, so that no change is missed when it becomes idle
+ * or discovery's address changes. A watch call that stays unanswered is hedged by a second one.
  *
- * <p>Where lists are pushed, what is called is an agent on this machine, which costs nothing and whose every word counts
- * as told: {@link #attend} watches it for good, and no failure is told of, as the list held stays the best there is.
+ * <p>Where lists are pushed, the peer is an agent on this machine: {@link #attend} keeps a watch on it permanently and reports
+ * no failures, since the list held remains the best one available.
+ *
+ * <p>All methods are called on the decision thread.
  */
 public final class Discovery {
 
-    /** Longer than a discovery lets a call wait (2 and 3 s are known of), so that its own word comes first. */
+    /** Longer than discovery queues a call (up to 3 s), so that its own error response arrives first. */
     private static final long ANSWER_TIMEOUT_MICROS = 4_000_000;
-    /**
-     * A call that is taken for dead ({@link CallPacing#hedgeDelayMicros}) gets a second one beside it, and gives up its place in
-     * turn only if that is quicker.
-     */
+    /** A watch call and its hedge, which is sent after {@link CallPacing#hedgeDelayMicros}; the first to be answered wins. */
     private static final int MAX_CONCURRENT_CALLS = 2;
-    /** Guards against a cut link, on which a watch just falls silent: an empty line is due every 2 s. */
+    /** Detects a broken connection on which a watch receives nothing: discovery sends a heartbeat line every 2 s. */
     private static final long WATCH_IDLE_TIMEOUT_MICROS = 2_500_000;
 
     private static final int MAX_BODY_BYTES = 1 << 20;
     private static final int HTTP_OK = 200;
     /**
-     * What discovery has to tell counts as told 4 s after the word to move, and the module would wait longer than this
-     * after a failure.
+     * Shorter than the decision module's delay after a failure: changes are due within 4 s of the order to use the new address.
      */
     private static final long ADDRESS_CHANGE_RETRY_MICROS = 300_000;
 
     private static final int MAX_ADDRESS_CHANGE_ATTEMPTS = 20;
-    /** A watch for good that ends sooner is no sign that the next one holds: the pause before it doubles from this on. */
+    /** A continuous watch that lasted this long resets the reconnect delay; a shorter one doubles it. */
     private static final long STABLE_WATCH_MICROS = 1_000_000;
 
     private static final long MIN_RECONNECT_DELAY_MICROS = 10_000;
@@ -63,30 +62,39 @@
     private final CallPacing pacing;
     private final ListConfirmation confirmation;
     private Runnable watchLostTask = () -> {};
-    /** Whether others have told of discovery's return since the watch was lost. */
+    /** Whether a peer has shown, since the watch was lost, that discovery is reachable again. */
     private boolean recoveryReported;
 
     private long watchLostMicros;
     private long recoveredMicros = Long.MIN_VALUE;
-    /** The watch that has answered, if any, and calls for another, the oldest first. */
+    /** The established watch, or null. */
     private Call watch;
 
+    /** Calls for a new watch that aren't answered yet, the oldest first. */
     private final List<Call> watchCalls = new ArrayList<>();
+
     private long lastWatchCallMicros;
-    /** Whether a watch was ordered, however it stands with it. */
+    /** Whether the decision module wants a watch, established or not. */
     private boolean watchRequested;
 
     private Call listCall;
     private Time.Timer nextCallTimer;
     private Time.Timer hedgeTimer;
-    /** Tries since discovery moved, 0 where it has not. */
+    /** Watch calls made for the current address change, or 0 if none is in progress. */
     private int addressChangeAttempts;
-    /** The longest pause of a watch for good, 0 where watches are ordered; and the present one. */
+    /** Upper bound of the reconnect delay of a continuous watch, or 0 where watches are started on request. */
     private long maxReconnectDelayMicros;
 
     private long reconnectDelayMicros;
     private Time.Timer listRetryTimer;
 
+    /**
+     * Creates a client that makes no call yet.
+     *
+     * @param address      discovery's address, or the agent's where lists are pushed
+     * @param confirmation is kept informed of the watch's state and of discovery's reachability
+     * @param listener     receives each list, and each failure that the decision module has to react to
+     */
     public Discovery(
             InetSocketAddress address,
             Dialer dialer,
@@ -106,12 +114,15 @@
         this.listener = listener;
     }
 
-    /** Has a task run each time the watch has ended or fallen silent. */
+    /** Sets the task that runs each time the watch has ended or become idle. */
     public void whenUnwatched(Runnable task) {
         watchLostTask = task;
     }
 
-    /** Begins a watch from the version held, once it is this balancer's turn, in the place of the one there is, or ends that. */
+    /**
+     * Starts or stops watching. A new watch resumes from the version held after the delay given by {@link CallPacing}, and
+     * replaces the present one once it is established.
+     */
     public void watch(boolean enabled) {
         watchRequested = enabled;
         if (!enabled) {
@@ -136,9 +147,10 @@
     }
 
     /**
-     * Watches from now on for good: a watch that ended is opened anew at once, one that ended soon after short pauses.
+     * Starts a continuous watch, which is reopened at once when it ends, or after a growing delay if it was short-lived.
      *
-     * @param graceMicros how soon what the agent holds has to be known here, at the least after it was unreachable
+     * @param graceMicros time within which the agent's list has to be known here after the agent was unreachable; bounds the
+     *                    reconnect delay
      */
     public void attend(long graceMicros) {
         maxReconnectDelayMicros = Math.max(MIN_RECONNECT_DELAY_MICROS, graceMicros / 2);
@@ -150,7 +162,7 @@
         return maxReconnectDelayMicros > 0;
     }
 
-    /** The time to wait before a call is tried again, after one that began at {@code startedMicros}. */
+    /** Returns the delay in microseconds before the next attempt, after a call that was started at the given time. */
     private long nextReconnectDelay(long startedMicros) {
         long nextDelayMicros =
                 Math.max(MIN_RECONNECT_DELAY_MICROS, Math.min(2 * reconnectDelayMicros, maxReconnectDelayMicros));
@@ -158,7 +170,7 @@
         return reconnectDelayMicros;
     }
 
-    /** Discovery is found at another address from now on. */
+    /** Switches to another address of discovery; an established watch is kept until the new one is established. */
     public void move(InetSocketAddress newAddress) {
         if (newAddress.equals(address)) {
             return;
@@ -175,7 +187,7 @@
         }
     }
 
-    /** Whether another watch is on its way, or will be. */
+    /** Returns whether a call for a new watch is in flight or scheduled. */
     private boolean watchCallPending() {
         return nextCallTimer != null || !watchCalls.isEmpty();
     }
@@ -203,7 +215,7 @@
         scheduleHedgedCall();
     }
 
-    /** A call that has no connection yet waits in no queue, and is taken for dead sooner than one that has. */
+    /** Schedules the hedge at the earliest time: a call without a connection isn't in discovery's queue, so it is hedged first. */
     private void scheduleHedgedCall() {
         if (hedgeTimer == null && !watchCalls.isEmpty() && watchCalls.size() < MAX_CONCURRENT_CALLS) {
             long hedgeAtMicros = lastWatchCallMicros + CallPacing.MIN_HEDGE_DELAY_MICROS;
@@ -221,7 +233,7 @@
         }
     }
 
-    /** A call for a watch is answered: only now is the old one given up, so that nothing told meanwhile is missed. */
+    /** Replaces the old watch only now that its successor is answered, so that no change in between is missed. */
     private void handleWatchEstablished(Call call) {
         watchCalls.remove(call);
         cancelWatchCalls();
@@ -233,8 +245,8 @@
     }
 
     /**
-     * Another balancer's word has come. Where it had the list later than the watch here was lost and discovery found to be
-     * down, discovery is up again, and calls that had been put off come sooner.
+     * Handles a confirmation of the list by a peer. If the peer had the list from discovery after the watch was lost here and
+     * after discovery was last unreachable, discovery is up again, and a scheduled call is rescheduled sooner.
      */
     public void heardFromOthers() {
         long confirmedMicros = confirmation.lastCompleteMicros();
@@ -267,15 +279,14 @@
             handleWatchLost();
         } else {
             if (call.startedMicros >= recoveredMicros) {
-                pacing.recordOutcome(
-                        call.outcome()); // one from before discovery's return says nothing of how many call now
+                pacing.recordOutcome(call.outcome()); // an earlier call tells nothing about the load after the recovery
             }
             confirmation.callFailed(call.outcome(), call.startedMicros, time.now());
         }
         if (call == listCall && watchesContinuously()) {
             listRetryTimer = time.after(nextReconnectDelay(call.startedMicros), this::ask);
         } else if (watchCallPending()) {
-            scheduleHedgedCall(); // another watch is on its way, and makes up for it
+            scheduleHedgedCall(); // another watch call is pending
         } else if (watchesContinuously()) {
             scheduleWatchCall(nextReconnectDelay(call.startedMicros));
         } else if (addressChangeAttempts > 0 && addressChangeAttempts < MAX_ADDRESS_CHANGE_ATTEMPTS) {
@@ -293,7 +304,7 @@
         nextCallTimer = time.after(delayMicros, this::startWatchCall);
     }
 
-    /** The watch says nothing any more. It is kept until another one answers, as an agent may have nothing to tell from. */
+    /** Keeps an idle watch until a new one is established: an agent that is cut off from discovery sends nothing either. */
     private void handleWatchIdle(Call call) {
         if (confirmation.hasLiveWatch()) {
             handleWatchLost();
@@ -310,7 +321,7 @@
         }
     }
 
-    /** Asks once for the whole list; a call that is out already serves as well. */
+    /** Fetches the whole list once, unless such a call is already in flight. */
     public void ask() {
         listRetryTimer = cancel(listRetryTimer);
         if (listCall == null || listCall.closed) {
@@ -318,6 +329,7 @@
         }
     }
 
+    /** One HTTP call to discovery: a watch, or a request for the whole list. */
     private final class Call implements LinkEvents, ListLines.Listener {
         private final boolean isWatch;
         private final String target;
@@ -329,13 +341,13 @@
         private final InetSocketAddress remoteAddress = address;
         private final long startedMicros = time.now();
         private boolean established;
-        /** Nothing came for too long, and that was told. */
+        /** Whether the listener was told that this watch is idle. */
         private boolean idleReported;
 
         private boolean closed;
         private boolean connected;
         private boolean timedOut;
-        /** Whether it has told what there was, so that all later signs of life say that nothing is missing. */
+        /** Whether the watch has delivered a complete list, so that each heartbeat confirms it. */
         private boolean listComplete;
 
         Call(String target, boolean isWatch) {
@@ -405,7 +417,7 @@
             }
         }
 
-        /** Danger: it may have told of a drain. It is ignored, and the whole list makes up for it. */
+        /** Fetches the whole list, since the lost input may have announced a drain. */
         @Override
         public void onMalformed() {
             if (!closed) {
@@ -415,7 +427,7 @@
             }
         }
 
-        /** A line that drips on and never ends is silence too: only its end is a sign of life. */
+        /** Restarts the idle timer at the end of a line only: a line that never ends counts as idle. */
         @Override
         public void onHeartbeat() {
             if (!closed) {
@@ -458,7 +470,7 @@
             }
         }
 
-        /** How a call that has failed ended. */
+        /** Returns how this failed call ended. */
         CallPacing.Outcome outcome() {
             if (timedOut) {
                 return CallPacing.Outcome.TIMED_OUT;
@@ -468,7 +480,7 @@
 
         @Override
         public void written() {
-            // Nothing turns on when a call has left.
+            // Timeouts run from the start of the call.
         }
 
         @Override
--- a/balancer/src/main/java/baymoor/inventory/Inventory.java
+++ b/balancer/src/main/java/baymoor/inventory/Inventory.java
@@ -26,12 +26,14 @@
 import org.json.JSONObject;
 
 /**
- * Discovery's list as this balancer holds it: turns its objects into {@link ServerList} events, names into ids that
- * are the same at every balancer, and keeps the address and state of each host.
+ * Holds the server list as last received from discovery. Parses its JSON objects into {@link ServerList} events, derives from
+ * each host's name an id that is the same at every balancer, and keeps the address and state of each host.
+ *
+ * <p>Not thread-safe; used on the decision thread.
  */
 public final class Inventory {
 
-    /** A listed host, as south needs it. */
+    /** Address, kind and state of a listed host, for {@code south}. */
     public record Entry(long id, InetSocketAddress address, String kind, State state) {
 
         private Entry withStateIfRunning(State otherState) {
@@ -40,15 +42,15 @@
     }
 
     private static final int MAX_NAME_LENGTH = 256;
-    /** Older whole lists in a row, with nothing newer between, after which the service itself has begun anew. */
+    /** Consecutive whole lists with an older version after which discovery is taken to have reset its versions. */
     private static final int OLDER_LISTS_BEFORE_RESET = 3;
 
     private final LongUnaryOperator sinceMillisToMicros;
     private final Counters counters;
     private final Map<Long, Entry> entries = new HashMap<>();
-    /** What discovery said last of each host in {@link #entries}. */
+    /** Each host's data as last received from discovery; its keys are among those of {@link #entries}. */
     private final Map<Long, Server> servers = new HashMap<>();
-    /** Hosts that other balancers' word has stopped, until a list of this version or a later one says what holds. */
+    /** Hosts that peers report as not running; cleared by a list of {@link #stoppedVersion} or later. */
     private final Set<Long> stoppedByPeers = new HashSet<>();
 
     private long stoppedVersion;
@@ -57,23 +59,28 @@
     private int olderListsInRow;
     private boolean needsFullList;
 
-    /** @param sinceMillisToMicros maps discovery's Unix milliseconds onto the balancer's clock */
+    /**
+     * Creates an empty inventory.
+     *
+     * @param sinceMillisToMicros maps discovery's Unix milliseconds to microseconds of the balancer's clock
+     */
     public Inventory(LongUnaryOperator sinceMillisToMicros, Counters counters) {
         this.sinceMillisToMicros = sinceMillisToMicros;
         this.counters = counters;
     }
 
+    /** Returns the version of the list held, 0 before the first one. */
     public long version() {
         return version;
     }
 
-    /** A host once listed, in its last state, or null. */
+    /** Returns a host in its last known state, draining if a peer has stopped it; null if it is unknown. */
     public Entry entry(long id) {
         Entry entry = entries.get(id);
         return entry != null && stoppedByPeers.contains(id) ? entry.withStateIfRunning(State.DRAINING) : entry;
     }
 
-    /** Tags of the hosts that run. */
+    /** Returns the tags of the running hosts. */
     List<Integer> runningTags() {
         List<Integer> tags = new ArrayList<>();
         for (Entry entry : entries.values()) {
@@ -85,12 +92,12 @@
     }
 
     /**
-     * Takes another balancer's word of which hosts run by its list. It stops the others here and brings back nobody: only
-     * discovery's own word does, by a list that is not older.
+     * Stops all hosts that do not run according to a peer's list. Hosts are never started this way: a stop is undone only by
+     * a list from discovery that is not older than the peer's.
      *
-     * @param tags    {@link ListMessage#tag} of each
-     * @param listVersion the version of that list
-     * @return what there is now, or null where nothing has changed
+     * @param tags        {@link ListMessage#tag} of each host that runs according to the peer
+     * @param listVersion the version of the peer's list
+     * @return the resulting list, or null if nothing has changed
      */
     ServerList stopAllExcept(Set<Integer> tags, long listVersion) {
         if (listVersion < version) {
@@ -111,7 +118,7 @@
         return new ServerList(ListKind.LAST_KNOWN, version, listedServers());
     }
 
-    /** All hosts that are not gone, as discovery and other balancers say. */
+    /** Returns all hosts that are not gone, with the peers' stops applied. */
     private List<Server> listedServers() {
         return servers.values().stream()
                 .filter(s -> s.state() != State.GONE)
@@ -126,8 +133,10 @@
     }
 
     /**
-     * Drops the hosts that are gone and of no more use. Seen: routers replaced all day by new ones under new names, each
-     * of which would stay here for good.
+     * Removes hosts that are gone and no longer in use. Without this, hosts that are replaced under new names would
+     * accumulate.
+     *
+     * @param inUse whether a host's id is still referenced, for instance by queued attempts
      */
     public void forget(LongPredicate inUse) {
         entries.values().removeIf(e -> e.state() == State.GONE && !inUse.test(e.id()));
@@ -135,17 +144,26 @@
         stoppedByPeers.retainAll(entries.keySet());
     }
 
-    /** Whether what came last could not be taken in full, so that the whole list is to be asked for. */
+    /** Returns whether the last object was stale or partly malformed, so that the whole list has to be fetched. */
     public boolean needsFullList() {
         return needsFullList;
     }
 
-    /** Takes the list that the configuration holds. */
+    /**
+     * Applies the list from the configuration.
+     *
+     * @throws JSONException if it has no index or no endpoints
+     */
     public ServerList known(JSONObject object) {
         return apply(object, ListKind.LAST_KNOWN);
     }
 
-    /** Takes one object of a watch; null if it is older than what is held. */
+    /**
+     * Applies one object of a watch.
+     *
+     * @return the event for the decision module, or null if the object is older than the list held
+     * @throws JSONException if the object is malformed
+     */
     public ServerList applyWatchObject(String text) {
         JSONObject object = new JSONObject(text);
         if (isStale(object)) {
@@ -156,7 +174,12 @@
         return apply(object, object.getBoolean("snapshot") ? ListKind.WHOLE : ListKind.CHANGES);
     }
 
-    /** Takes the answer to a call; null if the watch has told of something newer meanwhile. */
+    /**
+     * Applies the response to a call for the whole list.
+     *
+     * @return the event for the decision module, or null if the watch has delivered a newer list in the meantime
+     * @throws JSONException if the response is malformed
+     */
     public ServerList applyFullList(String text) {
         JSONObject object = new JSONObject(text);
         needsFullList = false;
@@ -164,8 +187,8 @@
     }
 
     /**
-     * Whether an object is older than what is held. Danger: an old list would bring back hosts that were said to drain.
-     * But a service that was set up anew counts from the start, and nobody may be left with its last list for good.
+     * Returns whether an object is older than the list held: it would put draining hosts back into service. After
+     * {@link #OLDER_LISTS_BEFORE_RESET} such lists in a row, discovery has restarted its versions, and the list is accepted.
      */
     private boolean isStale(JSONObject object) {
         if (object.getLong("index") >= version) {
@@ -177,8 +200,8 @@
     }
 
     /**
-     * An entry that can't be read is counted and left out: it must not cost the others. A whole list with one says
-     * nothing of who is absent, unless it comes so a second time.
+     * Applies a list. Malformed entries are counted and skipped. A whole list that has any is applied as a set of changes, as
+     * a host may be missing only because its entry is malformed, unless the same version is received a second time.
      */
     private ServerList apply(JSONObject object, ListKind announcedKind) {
         long index = object.getLong("index");
@@ -197,7 +220,7 @@
                     counters.add(Count.INVENTORY_BAD);
                     malformed = true;
                 }
-                // Of a host named twice the more careful word holds: nothing new goes to one that may drain.
+                // Of two entries for a host the one closer to removal applies: a draining host gets no new attempts.
                 if (duplicate == null || server.state().compareTo(duplicate.state()) > 0) {
                     servers.put(server.id(), server);
                     changed.put(server.id(), entry);
@@ -211,11 +234,11 @@
         malformedVersion = needsFullList ? index : malformedVersion;
         ListKind kind = needsFullList ? ListKind.CHANGES : announcedKind;
         if (index < version) {
-            stoppedVersion = index; // the service counts anew, and versions from before say nothing any more
+            stoppedVersion = index; // discovery has reset its versions; earlier ones no longer compare
         }
         version = index;
         if (kind != ListKind.CHANGES) {
-            // Who is absent from a whole list is gone; its entry stays, since relays may still be queued for it.
+            // A host absent from a whole list is gone; its entry stays, since attempts may still be queued for it.
             entries.replaceAll((id, e) -> new Entry(id, e.address(), e.kind(), State.GONE));
             this.servers.clear();
         }
@@ -224,7 +247,7 @@
         return toEvent(kind, servers);
     }
 
-    /** What is told of a list that was taken: where it lifts other balancers' word, all that holds now. */
+    /** Returns the event for an applied list: the received servers, or all of them if the list lifts the peers' stops. */
     private ServerList toEvent(ListKind kind, Map<Long, Server> received) {
         boolean liftsStops = !stoppedByPeers.isEmpty() && version >= stoppedVersion;
         if (liftsStops) {
@@ -256,25 +279,25 @@
 
     private long idOf(String name) {
         if (name.isEmpty() || name.length() > MAX_NAME_LENGTH) {
-            throw new JSONException("name is empty or too long");
+            throw new JSONException("name is empty or longer than " + MAX_NAME_LENGTH + " characters");
         }
         return hash(name);
     }
 
-    /** 63 bits of a digest: every balancer gets the same id for a name, and two names never share one. */
+    /** Returns 63 bits of the name's SHA-256 digest, the same at every balancer; collisions are negligible. */
     static long hash(String name) {
         try {
             byte[] digest = MessageDigest.getInstance("SHA-256").digest(name.getBytes(StandardCharsets.UTF_8));
             return ByteBuffer.wrap(digest).getLong() & Long.MAX_VALUE;
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java has SHA-256", e);
+            throw new IllegalStateException("SHA-256 is not available", e);
         }
     }
 
     private static InetSocketAddress parseAddress(String text) {
         InetSocketAddress address = Address.parse(text);
         if (address == null) {
-            throw new JSONException("address is not in figures with a port");
+            throw new JSONException("address is not a numeric IP address with a port");
         }
         return address;
     }
--- a/balancer/src/main/java/baymoor/inventory/ListExchange.java
+++ b/balancer/src/main/java/baymoor/inventory/ListExchange.java
@@ -13,26 +13,29 @@
 import merlinstep.Decisions.ServerList;
 
 /**
- * Lets one watch of discovery serve many balancers. One that has no watch asks a few others at random which hosts run, and
- * asks on until its own watch is up; in ordinary times nothing is sent. An answer may stop the use of a host, never begin it,
- * and confirms the list held as of the time for which the other one knew it: those without a watch pass on what they were
- * told, with its age. The nonce ties an answer to its question, so that a late or repeated one can't be taken for a fresh one.
+ * Gossips the server list among balancers that have no live watch of discovery. Such a balancer queries a few random
+ * peers for the hosts that run, and repeats this until its own watch is established; otherwise nothing is sent. A reply can
+ * stop the use of a host but never start it, and confirms the list held as of the time when the peer's list was complete:
+ * balancers without a watch forward what they have learnt together with its age. A nonce matches each reply to its query, so
+ * that a late or duplicated reply can't be taken for a fresh one.
+ *
+ * <p>All methods are called on the decision thread.
  */
 public final class ListExchange {
 
-    /** Sends a datagram to the balancer with a number. */
+    /** Sends a datagram to a peer, given by its index in the tier. */
     @FunctionalInterface
     public interface Sender {
         void send(int peer, byte[] datagram);
     }
 
-    /** Others asked at a time: word from one of n reaches all in about log2(n) rounds, also where some are lost. */
+    /** Peers queried per round: a change known to one of n balancers reaches all in about log2(n) rounds despite some losses. */
     private static final int QUERY_FANOUT = 3;
-    /** The first pause before others are asked: longer than there and back, so that what was answered isn't asked again. */
+    /** Longer than a round trip, so that a query isn't repeated before its reply can arrive. */
     private static final long INITIAL_QUERY_INTERVAL_MICROS = 100_000;
-    /** The longest pause: the list has to be confirmed every 6 s, and an answer may be lost, and age on its way by others. */
+    /** Well below {@link ListConfirmation#MAX_LIST_AGE_MICROS}: replies may be lost, and age while peers forward them. */
     private static final long MAX_QUERY_INTERVAL_MICROS = 1_000_000;
-    /** An answer that comes later is as good as lost: what it says has aged with it. */
+    /** Later replies are dropped, since the list they describe is too old. */
     private static final long REPLY_TIMEOUT_MICROS = 2_000_000;
 
     private final int selfIndex;
@@ -49,7 +52,7 @@
     private long queryIntervalMicros;
     private Time.Timer nextQueryTimer;
 
-    /** A question that is out, and the parts of its answer so far. */
+    /** A query in flight, with the parts of its reply received so far. */
     private static final class PendingQuery {
         final int peer;
         final long sentMicros;
@@ -62,8 +65,12 @@
     }
 
     /**
-     * @param selfIndex      this balancer's number among {@code balancerCount}
-     * @param listener    hears of hosts that another one's word has stopped
+     * Creates an exchange that sends nothing yet.
+     *
+     * @param selfIndex     this balancer's index, from 0 to {@code balancerCount - 1}
+     * @param balancerCount size of the tier, 1 if there are no peers to query
+     * @param seed          seeds the choice of peers, the nonces and the jitter of the query interval
+     * @param listener      receives the list when a reply has stopped hosts
      */
     public ListExchange(
             int selfIndex,
@@ -86,12 +93,12 @@
         random = new Random(seed);
     }
 
-    /** Has a task run each time another one's word has confirmed the list. */
+    /** Sets the task that runs each time a peer's reply has confirmed the list. */
     public void whenConfirmed(Runnable task) {
         confirmedTask = task;
     }
 
-    /** Begins to ask others, unless a watch is up or it asks already. */
+    /** Starts querying peers, unless a watch is live or queries are already running. */
     public void seek() {
         if (nextQueryTimer == null && !confirmation.hasLiveWatch() && balancerCount > 1) {
             queryIntervalMicros = INITIAL_QUERY_INTERVAL_MICROS;
@@ -127,7 +134,7 @@
         return millisSince(confirmation.lastCompleteMicros());
     }
 
-    /** Rounded up: what is told is never younger than it is. */
+    /** Returns the milliseconds since a time, rounded up so that an age is never understated. */
     private int millisSince(long micros) {
         return (int) Math.min(Integer.MAX_VALUE, (time.now() - micros + 999) / 1000);
     }
@@ -139,7 +146,12 @@
                 : ListMessage.NoNewerList.NOT_DOWN;
     }
 
-    /** Takes a datagram of another balancer; false if it isn't about lists. */
+    /**
+     * Handles a peer's datagram; one that can't be decoded is counted and dropped.
+     *
+     * @param from the sender's index in the tier
+     * @return false if the datagram is of another kind than {@link ListMessage}
+     */
     public boolean heard(int from, byte[] datagram) {
         if (!ListMessage.isListMessage(datagram)) {
             return false;
@@ -179,7 +191,7 @@
         }
         pendingQueries.remove(reply.nonce());
         if (reply.version() < inventory.version()) {
-            return; // it knows less, of whatever time
+            return; // the peer's list is older, however recently it was confirmed
         }
         Set<Integer> runningTags = new HashSet<>();
         query.parts.values().forEach(part -> runningTags.addAll(part.runningTags()));
