--- a/balancer/src/main/java/baymoor/inventory/CallPacing.java
+++ b/balancer/src/main/java/baymoor/inventory/CallPacing.java
@@ -3,43 +3,43 @@
 import java.util.Random;
 
 /**
- * Says how long to wait before the next call for a watch, so that all balancers of the tier together call discovery no faster
- * than it can answer. What makes one balancer call, an outage or a mass restart, makes all call; and a discovery that works
- * calls off one after another stays overbooked for as long as calls come faster than that.
+ * Rate limit for watch calls: computes the delay before the next one, so that the balancers of the tier together do not
+ * overload discovery when an outage or a mass restart makes all of them call at once.
  *
- * <p>Calls are spread over a window that is proportional to the size of the tier. A caller's turn in the window is by its
- * number, with jitter inside it, so that callers which begin together come evenly spaced, and it moves on each time, so that
- * nobody is always last. A call that discovery turned down doubles the window, an answer resets it. Knows neither clock nor
- * socket.
+ * <p>Calls are spread over a window that is proportional to the size of the tier. A caller's position in the window follows
+ * from its index, with jitter, so that callers which begin together are evenly spaced; it changes each time, so that no caller
+ * is always last. A rejected call doubles the window, an answered one resets it.
+ *
+ * <p>Uses neither clock nor sockets. Not thread-safe.
  */
 public final class CallPacing {
 
-    /** How a call ended, as far as the next one's time turns on it. */
+    /** How a call ended. */
     public enum Outcome {
-        /** A watch is up. */
+        /** The watch is established. */
         ANSWERED,
-        /** No connection: discovery is down, and calls in vain cost it nothing. */
+        /** No connection was made: discovery is down, and further calls put no load on it. */
         CONNECTION_FAILED,
-        /** An answer other than the list, or a reset: too many call, or discovery is down, which can't be told apart. */
+        /** An error response, or a connection that was closed: discovery is overloaded or down. */
         REJECTED,
-        /** No word at all: the connection is dead, which says nothing of discovery. */
+        /** No response within the timeout: the connection is dead, and discovery's state unknown. */
         TIMED_OUT
     }
 
-    /**
-     * Each caller's part of the first window: 50 calls a second by all. A service that reads a list from memory does several
-     * hundred; one that does fewer than 50 says so soon, at the price of some calls.
-     */
+    /** Each caller's part of the initial window, which limits the tier to 50 calls per second. */
     private static final long BASE_INTERVAL_MICROS = 20_000;
-    /** The window doubles three times at most, to six calls a second by all: as slow as that no service is known to be. */
+    /** Limits the backoff to about six calls per second by the whole tier. */
     private static final int MAX_DOUBLINGS = 3;
-    /** And so many are left once it is known that discovery is up: 12 calls a second by all. */
+    /** Limits the backoff once discovery is known to be up, to about 12 calls per second by the whole tier. */
     private static final int MAX_DOUBLINGS_AFTER_RECOVERY = 2;
-    /** How long a call on a good connection takes where nobody else calls, with a margin for a slow start. */
+    /** Upper bound of an answer's time while no other balancer calls, with a margin for a slow start. */
     private static final long UNLOADED_CALL_MICROS = 1_000_000;
-    /** No call is taken for dead sooner, nor one later that has no connection yet: half of what a change has to be known in is left after the silence before it. */
+    /**
+     * Earliest time for a hedged call, and the time for one whose first call has no connection yet. With the idle timeout
+     * before it, half of the time within which a change has to be known remains.
+     */
     static final long MIN_HEDGE_DELAY_MICROS = 2_000_000;
-    /** Longer than any discovery lets a call wait for its turn (2 and 3 s are known of). */
+    /** Longer than discovery queues a call, which is up to 3 s. */
     private static final long MAX_QUEUE_MICROS = 3_200_000;
 
     private final int callers;
@@ -48,8 +48,11 @@
     private int doublings;
 
     /**
-     * @param callers balancers of the tier
-     * @param index  this one's number among them
+     * Creates the pacing of one balancer.
+     *
+     * @param callers number of balancers in the tier
+     * @param index   this balancer's index among them
+     * @param seed    seeds the jitter
      */
     public CallPacing(int callers, int index, long seed) {
         this.callers = callers;
@@ -57,7 +60,7 @@
         random = new Random(seed);
     }
 
-    /** Takes in how a call ended. */
+    /** Adjusts the window to the outcome of a call. */
     public void recordOutcome(Outcome outcome) {
         switch (outcome) {
             case ANSWERED, CONNECTION_FAILED -> doublings = 0;
@@ -67,26 +70,27 @@
     }
 
     /**
-     * Discovery is up again, as another balancer says that has its list. All hear so within a second, so their calls are
-     * still spread widely: with what the list stops known by then, a call is less urgent than an answer to each is.
+     * Shortens the backoff after a peer has shown that discovery is up again. All balancers learn this at about the same time,
+     * so the calls stay spread; they aren't urgent, as the peers already provide the list.
      */
     public void discoveryRecovered() {
         doublings = Math.min(MAX_DOUBLINGS_AFTER_RECOVERY, doublings);
     }
 
-    /** The time to wait from now on to this balancer's turn in the present window. */
+    /** Returns the delay from now to this balancer's position in the window, and moves on to the next position. */
     public long nextDelayMicros() {
         double fraction = (position + random.nextDouble()) / callers;
-        // A step that is prime to the number of callers goes round all turns, and far from the last one each time.
+        // A stride coprime to the number of callers visits every position.
         position = (position + stride()) % callers;
         return (long) (fraction * windowMicros());
     }
 
-    /** Over how long the calls of all are spread now; one that is alone waits for nobody. */
+    /** Returns the length of the current window; 0 for a single caller. */
     long windowMicros() {
         return ((callers - 1) * BASE_INTERVAL_MICROS) << doublings;
     }
 
+    /** Returns a number coprime to the number of callers, large enough to keep successive positions far apart. */
     private int stride() {
         int stride = Math.max(1, (int) (callers * 0.382));
         while (greatestCommonDivisor(stride, callers) > 1) {
@@ -100,9 +104,9 @@
     }
 
     /**
-     * After how long without an answer a call is taken for dead, so that a second one goes out beside it. In a large tier, and
-     * after one was turned down, a call may just be waiting its turn, and a second one would only make the queue longer. The
-     * wait in a tier is reckoned for a discovery half as fast as the first window supposes.
+     * Returns how long a connected call may stay unanswered before it is hedged by a second one. In a large tier, or after a
+     * rejection, a call may be waiting in discovery's queue, which a hedge would only lengthen; so the delay allows for a
+     * discovery that answers at half the rate of the initial window.
      */
     public long hedgeDelayMicros() {
         long expectedAnswerMicros =
--- a/balancer/src/main/java/baymoor/inventory/ListConfirmation.java
+++ b/balancer/src/main/java/baymoor/inventory/ListConfirmation.java
@@ -1,28 +1,30 @@
 package baymoor.inventory;
 
 /**
- * Until when the list held may be used. A change of the list counts as told some seconds after discovery had it and could be
- * reached, whether it arrived or not; so an attempt may begin until that long after the last moment of which it is known that
- * the list was complete, or that discovery could not be reached. Worked out as times, and asked at each attempt: no timer.
+ * Tracks how long the server list held may be used. A change is due a fixed time after discovery had it and was reachable,
+ * whether or not it has arrived. Attempts may therefore start until that long after the last time at which the list was known
+ * to be complete, or discovery known to be unreachable.
+ *
+ * <p>Keeps timestamps only and sets no timer; {@link #current} is evaluated for each attempt. Used on the decision thread.
  */
 public final class ListConfirmation {
 
     /**
-     * What discovery has counts as told so long after it could be reached. The grace for drains, which comes on top, is left
-     * for what a watch tells late.
+     * Time after which a list that isn't confirmed must no longer be used. The drain grace, which comes on top, is left for
+     * changes that a live watch delivers late.
      */
     static final long MAX_LIST_AGE_MICROS = 6_000_000;
 
     private static final long NEVER = Long.MIN_VALUE / 2;
 
-    /** How long another balancer's word that it knows no more holds: two of the longest pauses between questions. */
+    /** How long a peer's statement that it has no newer list holds: two of the longest query intervals. */
     static final long NO_NEWER_LIST_TTL_MICROS = 2_000_000;
 
-    /** Whether the list is to be confirmed at all: where it is pushed, the agent's is the best there is. */
+    /** False where lists are pushed: the agent's list is always the best available. */
     private final boolean required;
-    /** Whether others can be asked. */
+    /** Whether there are peers to query. */
     private final boolean hasPeers;
-    /** Up to then a list of unknown age is used: a program that has just started must serve also if nobody answers. */
+    /** Counts as a confirmation, so that a process that has just started serves with a list of unknown age. */
     private final long startedMicros;
 
     private boolean watchLive;
@@ -36,51 +38,57 @@
         this.startedMicros = startedMicros;
     }
 
-    /** Of a program that starts now with a list of unknown age. */
+    /**
+     * Creates the state of a process that starts now with a list of unknown age.
+     *
+     * @param hasPeers whether there are peers to query
+     */
     public static ListConfirmation from(long nowMicros, boolean hasPeers) {
         return new ListConfirmation(true, hasPeers, nowMicros);
     }
 
-    /** Of lists that need no confirmation. */
+    /** Creates the state for lists that need no confirmation. */
     public static ListConfirmation notNeeded() {
         return new ListConfirmation(false, false, NEVER);
     }
 
-    /** The watch has shown a sign of life: what it told so far is all there is to tell. */
+    /** Records a heartbeat of the watch, which confirms that the list is complete. */
     void watchHeartbeat(long nowMicros) {
         watchLive = true;
         recordComplete(nowMicros);
     }
 
-    /** The watch has ended or fallen silent. */
+    /** Records that the watch has ended or become idle. */
     void watchLost() {
         watchLive = false;
     }
 
-    /** The list was complete at a time. */
+    /** Records that the list was complete at a time; an earlier time than the last one has no effect. */
     void recordComplete(long atMicros) {
         lastCompleteMicros = Math.max(lastCompleteMicros, atMicros);
     }
 
-    /** Another balancer, asked at random, has no later word of the list either. */
+    /** Records that a peer, queried at random, has no newer list. */
     void peerHasNoNewerList(long nowMicros) {
         noNewerListMicros = nowMicros;
     }
 
-    /** Discovery could not be reached at a time: what it has counts as told so much later. */
+    /** Records that discovery was unreachable at a time, which extends the use of the list. */
     void recordUnreachable(long atMicros) {
         lastUnreachableMicros = Math.max(lastUnreachableMicros, atMicros);
     }
 
-    /** When discovery could last not be reached, long ago where it always could. */
+    /** Returns when discovery was last unreachable, or a time long ago if it never was. */
     long lastUnreachableMicros() {
         return lastUnreachableMicros;
     }
 
     /**
-     * A call for the list has failed. Discovery was down then if it took no connection, and may have been if it turned the
-     * call down, at once or after a wait. That also happens where too many call; but then others have a watch, so it counts
-     * where those asked had none, or there is nobody to ask. A call that stays silent tells nothing: the way there may be cut.
+     * Records a failed call to discovery. A failed connection means that discovery was unreachable. A rejection means either
+     * that or overload; under overload some peers have a watch, so it counts as unreachable only if no peer queried lately had
+     * a newer list, or there are no peers. A timeout has no effect, as only the network path may be broken.
+     *
+     * @param startedMicros when the call was started
      */
     void callFailed(CallPacing.Outcome outcome, long startedMicros, long nowMicros) {
         boolean noPeerHasNewer = !hasPeers || nowMicros - noNewerListMicros < NO_NEWER_LIST_TTL_MICROS;
@@ -90,22 +98,22 @@
         }
     }
 
-    /** Whether a watch is up that lives. */
+    /** Returns whether a watch is established and not idle. */
     boolean hasLiveWatch() {
         return watchLive;
     }
 
-    /** Whether the list has been confirmed since the start, by discovery or by one that had it from there. */
+    /** Returns whether the list has been confirmed since the start, by discovery or through peers. */
     boolean isConfirmed() {
         return lastCompleteMicros != NEVER;
     }
 
-    /** When the list was last known to be complete, long ago where it never was. */
+    /** Returns when the list was last known to be complete, or a time long ago if it never was. */
     long lastCompleteMicros() {
         return lastCompleteMicros;
     }
 
-    /** Whether an attempt may begin on the list held. */
+    /** Returns whether a new attempt may use the list held. */
     public boolean current(long nowMicros) {
         long lastValidMicros = Math.max(startedMicros, Math.max(lastCompleteMicros, lastUnreachableMicros));
         return !required || watchLive || nowMicros < lastValidMicros + MAX_LIST_AGE_MICROS;
--- a/balancer/src/main/java/baymoor/inventory/ListLines.java
+++ b/balancer/src/main/java/baymoor/inventory/ListLines.java
@@ -5,41 +5,47 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Takes a watch's bytes apart into the JSON objects that it tells, one to a line or indented over many. An object that was cut
- * off, or what is none, is spoilt: it ends where an empty line comes, a line breaks off inside a string, or a line is a whole
- * list by itself.
+ * Splits a watch's byte stream into JSON objects, each on one line or indented over several. Truncated objects and input
+ * outside of objects are reported as malformed. A truncated object ends at an empty line, at a line that breaks off inside a
+ * string, or before a line that is a complete list by itself.
  */
 final class ListLines {
 
-    /** What a watch says. */
+    /** Receives the content of the stream. */
     interface Listener {
+        /** Handles a complete object. */
         void onObject(String object);
 
-        /** Something that can't be read, which may have told of anything. */
+        /** Handles input that was dropped as malformed; it may have contained any change. */
         void onMalformed();
 
-        /** The end of a line that belongs to no unfinished object: the watch lives. */
+        /** Handles the end of a line outside of objects, which shows that the watch is alive. */
         void onHeartbeat();
     }
 
     private final int maxObjectBytes;
     private final Listener listener;
     private final ByteArrayOutputStream object = new ByteArrayOutputStream();
-    /** Where the present line of the object begins. */
+    /** Offset in {@link #object} of its current line. */
     private int lineStart;
 
     private int depth;
     private boolean inString;
     private boolean escaped;
-    /** Whether this line holds what belongs to no object. */
+    /** Whether the current line has input outside of objects. */
     private boolean strayInput;
 
-    /** @param maxObjectBytes bytes of an object at the most */
+    /** Creates a splitter for objects of at most {@code maxObjectBytes} bytes. */
     ListLines(int maxObjectBytes, Listener listener) {
         this.maxObjectBytes = maxObjectBytes;
         this.listener = listener;
     }
 
+    /**
+     * Consumes the next bytes of the stream.
+     *
+     * @throws HttpException if an object is longer than allowed
+     */
     void feed(byte[] bytes) throws HttpException {
         for (byte b : bytes) {
             if (depth > 0 || b == '{') {
@@ -50,7 +56,7 @@
                 strayInput |= b != ' ' && b != '\r' && b != '\t';
             }
             if (object.size() > maxObjectBytes) {
-                throw new HttpException("line too long");
+                throw new HttpException("object too long");
             }
         }
     }
@@ -111,7 +117,7 @@
         escaped = false;
     }
 
-    /** Whether a line, which was taken for a part of an object, is one that says who is listed. */
+    /** Returns whether a line inside an object is a complete list by itself, so that the object before it was truncated. */
     private static boolean isCompleteList(String text) {
         if (!text.startsWith("{") || !text.contains("\"endpoints\"")) {
             return false;
--- a/balancer/src/main/java/baymoor/inventory/ListMessage.java
+++ b/balancer/src/main/java/baymoor/inventory/ListMessage.java
@@ -6,8 +6,8 @@
 import java.util.List;
 
 /**
- * Datagrams between balancers about the list. The first byte names the kind; a version of the program that doesn't know it
- * hands the datagram to its decisions, which pass over all that doesn't begin with their own kind.
+ * Datagrams by which balancers exchange the server list. The first byte is the message type; program versions that don't
+ * know it pass the datagram to the decision module, which ignores all types but its own.
  */
 sealed interface ListMessage {
 
@@ -15,24 +15,25 @@
     byte REPLY = 0x52;
     byte NO_NEWER_LIST = 0x53;
 
-    /** Which running hosts fit one datagram. */
+    /** Running hosts that fit into one datagram. */
     int MAX_TAGS = (Peers.LONGEST - Reply.HEADER_BYTES) / Integer.BYTES;
-    /** Datagrams of one answer at the most: some 1,800 hosts. */
+    /** Datagrams of one reply at most, enough for about 1,800 hosts. */
     int MAX_PARTS = 32;
 
-    /** Whether a datagram is of these kinds, readable or not. */
+    /** Returns whether a datagram has one of these message types, well-formed or not. */
     static boolean isListMessage(byte[] datagram) {
         return datagram.length > 0 && datagram[0] >= QUERY && datagram[0] <= NO_NEWER_LIST;
     }
 
-    /** Names a host by 32 bits of its id. Two that share them are one in 4 billion, and the peer's word is just not heard then. */
+    /** Returns the low 32 bits of a host's id. In the rare case that two hosts share a tag, a stop of one of them is missed. */
     static int tag(long id) {
         return (int) id;
     }
 
+    /** Returns the datagram's bytes, in network byte order. */
     byte[] encode();
 
-    /** Asks for what runs by the list of someone who knows it later than {@code ageMillis} ago. */
+    /** Asks a peer for its running hosts, if its list was confirmed less than {@code ageMillis} ago. */
     record Query(long nonce, int ageMillis) implements ListMessage {
         static final int BYTES = 1 + Long.BYTES + Integer.BYTES;
 
@@ -46,7 +47,7 @@
         }
     }
 
-    /** One of the parts of an answer: hosts that run by a list of this version, complete that long ago. */
+    /** One part of a reply: running hosts of a list with the given version that was complete {@code ageMillis} ago. */
     record Reply(long nonce, long version, int ageMillis, int partIndex, int partCount, List<Integer> runningTags)
             implements ListMessage {
         static final int HEADER_BYTES = 1 + 2 * Long.BYTES + Integer.BYTES + 2;
@@ -65,7 +66,7 @@
         }
     }
 
-    /** Says that the sender knows no later list, and how long ago discovery was found to be down; {@link #NOT_DOWN} if not. */
+    /** Replies that the sender has no newer list, and how long ago discovery was unreachable, or {@link #NOT_DOWN}. */
     record NoNewerList(long nonce, int downMillis) implements ListMessage {
         static final int NOT_DOWN = -1;
         static final int BYTES = 1 + Long.BYTES + Integer.BYTES;
@@ -80,7 +81,7 @@
         }
     }
 
-    /** The answer's datagrams, or none where the list is too long for them. */
+    /** Splits a reply into datagrams; returns none if the list is too long for {@link #MAX_PARTS} of them. */
     static List<Reply> toParts(long nonce, long version, int ageMillis, List<Integer> runningTags) {
         int partCount = Math.max(1, (runningTags.size() + MAX_TAGS - 1) / MAX_TAGS);
         List<Reply> replies = new ArrayList<>();
@@ -92,7 +93,7 @@
         return replies;
     }
 
-    /** Reads a datagram; null for one that no version of this program sends. */
+    /** Decodes a datagram; returns null if it is malformed or of another type. */
     static ListMessage decode(byte[] datagram) {
         if (!isListMessage(datagram)) {
             return null;
