--- a/balancer/src/main/java/baymoor/config/Config.java
+++ b/balancer/src/main/java/baymoor/config/Config.java
@@ -31,12 +31,12 @@
 /** Turns the environment and the configuration file into {@link Settings}. */
 public final class Config {
 
-    private static final int USUAL_SOCKETS = 1024;
-    private static final int FEWEST_SOCKETS = 128;
+    private static final int DEFAULT_SOCKETS = 1024;
+    private static final int MIN_SOCKETS = 128;
     /** Tables are as long as the fleet: far more than any has, and few enough to hold. */
-    private static final int MOST_BALANCERS = 10_000;
+    private static final int MAX_BALANCERS = 10_000;
 
-    private static final int MOST = Integer.MAX_VALUE;
+    private static final int UNBOUNDED = Integer.MAX_VALUE;
 
     private static final Map<String, Effect> EFFECTS =
             Map.of("retryable", Effect.SAFE, "dedup", Effect.KEYED, "fragile", Effect.UNSAFE);
@@ -75,161 +75,168 @@
 
     /** Reads the text of a configuration. */
     public static Settings parse(String text, Map<String, String> environment) throws BadConfig {
-        Fields f;
+        Fields fields;
         try {
-            f = new Fields("", new JSONObject(text));
+            fields = new Fields("", new JSONObject(text));
         } catch (JSONException e) {
             throw new BadConfig("config: not JSON: " + e.getMessage().replace('\n', ' '));
         }
-        String name = f.text("name", environment.get("ROUTER_NAME"));
-        InetSocketAddress listen = needed("listen", f.address("listen", environment.get("ROUTER_LISTEN")));
-        InetSocketAddress discovery = needed("discovery", f.address("discovery", environment.get("ROUTER_DISCOVERY")));
-        int sockets = f.object("limits").count("sockets", USUAL_SOCKETS, FEWEST_SOCKETS, MOST);
+        String name = fields.string("name", environment.get("ROUTER_NAME"));
+        InetSocketAddress listen = required("listen", fields.address("listen", environment.get("ROUTER_LISTEN")));
+        InetSocketAddress discovery =
+                required("discovery", fields.address("discovery", environment.get("ROUTER_DISCOVERY")));
+        int sockets = fields.object("limits").intInRange("sockets", DEFAULT_SOCKETS, MIN_SOCKETS, UNBOUNDED);
         // The start line has sized the heap by it already; what it could not read is named here, before the listening.
-        f.object("limits").atLeast("memory_mb", 1);
-        JSONObject known = f.json("known");
-        Decisions.Settings module = module(f.object("settings"), f.seed("seed"));
-        List<InetSocketAddress> peers = f.addresses("peers");
+        fields.object("limits").requiredAtLeast("memory_mb", 1);
+        JSONObject configuredList = fields.jsonObject("known");
+        Decisions.Settings decisions = decisionSettings(fields.object("settings"), fields.hexSeed("seed"));
+        List<InetSocketAddress> peers = fields.addresses("peers");
         return new Settings(
-                needed("name", name),
+                required("name", name),
                 listen,
                 discovery,
-                f.address("peer_listen", null),
+                fields.address("peer_listen", null),
                 peers,
-                f.address("peers_all", null),
+                fields.address("peers_all", null),
                 sockets,
-                known,
-                module);
+                configuredList,
+                decisions);
     }
 
-    private static <T> T needed(String field, T value) throws BadConfig {
+    private static <T> T required(String field, T value) throws BadConfig {
         if (value == null) {
             throw new BadConfig("config: " + field + " is missing");
         }
         return value;
     }
 
-    private static Decisions.Settings module(Fields f, long seed) throws BadConfig {
-        List<RequestClass> classes = classes(f);
-        List<Tenant> tenants = tenants(f);
-        Fields extra = f.object("extra");
-        Fields goal = f.object("scoring_mix");
-        Fields reports = f.object("load_info");
-        int siblings = f.count("siblings", 1, MOST_BALANCERS);
-        int me = f.count("me", 0, siblings - 1);
+    private static Decisions.Settings decisionSettings(Fields fields, long seed) throws BadConfig {
+        List<RequestClass> classes = classes(fields);
+        List<Tenant> tenants = tenants(fields);
+        Fields extra = fields.object("extra");
+        Fields goal = fields.object("scoring_mix");
+        Fields reports = fields.object("load_info");
+        int balancers = fields.intInRange("siblings", 1, MAX_BALANCERS);
+        int index = fields.intInRange("me", 0, balancers - 1);
         try {
             return new Decisions.Settings(
-                    me,
-                    siblings,
+                    index,
+                    balancers,
                     seed,
-                    f.text("az", ""),
-                    f.texts("failure_domains"),
-                    f.texts("skus"),
-                    f.texts("layers"),
-                    f.count("layer", 0, 0, MOST),
+                    fields.string("az", ""),
+                    fields.strings("failure_domains"),
+                    fields.strings("skus"),
+                    fields.strings("layers"),
+                    fields.intInRange("layer", 0, 0, UNBOUNDED),
                     classes,
                     tenants,
-                    f.choice("membership_mode", Membership.PUSH, MEMBERSHIPS),
+                    fields.choice("membership_mode", Membership.PUSH, MEMBERSHIPS),
                     origin(extra),
-                    limits(f.object("limits")),
-                    rules(f.object("rules")),
-                    prices(f.object("prices")),
+                    limits(fields.object("limits")),
+                    rules(fields.object("rules")),
+                    prices(fields.object("prices")),
                     goal(goal),
                     reports.choice("how", Reports.NONE, REPORTS),
-                    reports.texts("names"),
-                    f.choice("weights", Weights.NONE, WEIGHTS),
-                    f.text("counted_by", "request").equals("work"),
-                    f.amount("over_share_worth", 1),
-                    f.object("client_habits").flag("marks_retry"),
-                    f.span("tick", 0));
+                    reports.strings("names"),
+                    fields.choice("weights", Weights.NONE, WEIGHTS),
+                    fields.string("counted_by", "request").equals("work"),
+                    fields.nonNegativeDecimal("over_share_worth", 1),
+                    fields.object("client_habits").bool("marks_retry"),
+                    fields.nonNegativeInteger("tick", 0));
         } catch (IllegalArgumentException e) {
             throw new BadConfig("config: settings: " + e.getMessage());
         }
     }
 
-    private static List<RequestClass> classes(Fields f) throws BadConfig {
+    private static List<RequestClass> classes(Fields fields) throws BadConfig {
         List<RequestClass> classes = new ArrayList<>();
         Set<String> names = new HashSet<>();
-        for (Fields c : f.objects("classes")) {
-            if (!names.add(c.text("name"))) {
-                throw c.bad("name", "names a class that there is already");
+        for (Fields item : fields.objects("classes")) {
+            if (!names.add(item.string("name"))) {
+                throw item.error("name", "names a class that there is already");
             }
             classes.add(new RequestClass(
-                    c.text("name"),
-                    c.span("on_time", 0),
-                    c.amount("aim_stretch", 0),
-                    c.atLeast("hard_limit", 1),
-                    c.choice("effect", Effect.UNSAFE, EFFECTS),
-                    c.choice("group", Group.CELL, GROUPS),
-                    c.span("key_ttl", 0),
-                    c.amount("value", 1),
-                    c.amount("late_worth", 0),
-                    c.flag("streamed")));
+                    item.string("name"),
+                    item.nonNegativeInteger("on_time", 0),
+                    item.nonNegativeDecimal("aim_stretch", 0),
+                    item.requiredAtLeast("hard_limit", 1),
+                    item.choice("effect", Effect.UNSAFE, EFFECTS),
+                    item.choice("group", Group.CELL, GROUPS),
+                    item.nonNegativeInteger("key_ttl", 0),
+                    item.nonNegativeDecimal("value", 1),
+                    item.nonNegativeDecimal("late_worth", 0),
+                    item.bool("streamed")));
         }
         return classes;
     }
 
-    private static List<Tenant> tenants(Fields f) throws BadConfig {
+    private static List<Tenant> tenants(Fields fields) throws BadConfig {
         List<Tenant> tenants = new ArrayList<>();
-        for (Fields t : f.objects("tenants")) {
-            tenants.add(new Tenant(t.text("name"), t.amount("share", 0), t.amount("quota_per_s", 0)));
+        for (Fields item : fields.objects("tenants")) {
+            tenants.add(new Tenant(
+                    item.string("name"),
+                    item.nonNegativeDecimal("share", 0),
+                    item.nonNegativeDecimal("quota_per_s", 0)));
         }
         return tenants;
     }
 
-    private static Origin origin(Fields f) throws BadConfig {
+    private static Origin origin(Fields fields) throws BadConfig {
         return new Origin(
-                f.choice("mode", Mode.THROUGH, MODES),
-                f.count("origin_kind", -1, -1, MOST),
-                f.amount("origin_fall_multiple", 0),
-                f.span("origin_fall", 0));
+                fields.choice("mode", Mode.THROUGH, MODES),
+                fields.intInRange("origin_kind", -1, -1, UNBOUNDED),
+                fields.nonNegativeDecimal("origin_fall_multiple", 0),
+                fields.nonNegativeInteger("origin_fall", 0));
     }
 
-    private static Goal goal(Fields f) throws BadConfig {
+    private static Goal goal(Fields fields) throws BadConfig {
         return new Goal(
-                f.real("whole", 1), f.real("worst_window", 0), f.real("worst_class", 0), f.real("worst_tenant", 0));
+                fields.decimal("whole", 1),
+                fields.decimal("worst_window", 0),
+                fields.decimal("worst_class", 0),
+                fields.decimal("worst_tenant", 0));
     }
 
-    private static Limits limits(Fields f) throws BadConfig {
+    private static Limits limits(Fields fields) throws BadConfig {
         return new Limits(
-                f.count("max_attempts", 1, 1, MOST),
-                f.count("open_cap", 0, 0, MOST),
-                f.flag("second_copies"),
-                f.flag("may_cancel"),
-                f.flag("may_probe"),
-                f.flag("may_tell"),
-                f.flag("retry_after"),
-                f.span("max_retry_after", 0),
-                f.span("connect_timeout", 0),
-                f.span("idle_close", 0),
-                f.count("streams_per_conn", 1, 0, MOST),
-                f.amount("cpu_us_per_s", 0),
-                f.amount("cpu_us_per_request", 0));
+                fields.intInRange("max_attempts", 1, 1, UNBOUNDED),
+                fields.intInRange("open_cap", 0, 0, UNBOUNDED),
+                fields.bool("second_copies"),
+                fields.bool("may_cancel"),
+                fields.bool("may_probe"),
+                fields.bool("may_tell"),
+                fields.bool("retry_after"),
+                fields.nonNegativeInteger("max_retry_after", 0),
+                fields.nonNegativeInteger("connect_timeout", 0),
+                fields.nonNegativeInteger("idle_close", 0),
+                fields.intInRange("streams_per_conn", 1, 0, UNBOUNDED),
+                fields.nonNegativeDecimal("cpu_us_per_s", 0),
+                fields.nonNegativeDecimal("cpu_us_per_request", 0));
     }
 
-    private static RuleFigures rules(Fields f) throws BadConfig {
+    private static RuleFigures rules(Fields fields) throws BadConfig {
         return new RuleFigures(
-                f.span("answer_slack", 0),
-                f.span("drain_grace", 0),
-                f.span("ask_within", 0),
-                f.amount("start_capacity", 0),
-                f.span("cold", 0),
-                f.amount("tip_multiple", 0),
-                f.span("overload_for", 0));
+                fields.nonNegativeInteger("answer_slack", 0),
+                fields.nonNegativeInteger("drain_grace", 0),
+                fields.nonNegativeInteger("ask_within", 0),
+                fields.nonNegativeDecimal("start_capacity", 0),
+                fields.nonNegativeInteger("cold", 0),
+                fields.nonNegativeDecimal("tip_multiple", 0),
+                fields.nonNegativeInteger("overload_for", 0));
     }
 
-    private static Prices prices(Fields f) throws BadConfig {
+    private static Prices prices(Fields fields) throws BadConfig {
         return new Prices(
-                f.amount("connection", 0),
-                f.amount("cross_zone", 0),
-                f.amount("membership_mode", 0),
-                f.amount("fleet", 0),
-                f.amount("handshake", 0),
-                f.amount("late_fail", 0),
-                f.amount("moves", 0),
-                f.amount("origin", 0),
-                f.amount("peer", 0),
-                f.amount("probe", 0),
-                f.amount("waste", 0));
+                fields.nonNegativeDecimal("connection", 0),
+                fields.nonNegativeDecimal("cross_zone", 0),
+                fields.nonNegativeDecimal("membership_mode", 0),
+                fields.nonNegativeDecimal("fleet", 0),
+                fields.nonNegativeDecimal("handshake", 0),
+                fields.nonNegativeDecimal("late_fail", 0),
+                fields.nonNegativeDecimal("moves", 0),
+                fields.nonNegativeDecimal("origin", 0),
+                fields.nonNegativeDecimal("peer", 0),
+                fields.nonNegativeDecimal("probe", 0),
+                fields.nonNegativeDecimal("waste", 0));
     }
 }
--- a/balancer/src/main/java/baymoor/config/Fields.java
+++ b/balancer/src/main/java/baymoor/config/Fields.java
@@ -19,34 +19,34 @@
         this.object = object;
     }
 
-    BadConfig bad(String field, String what) {
-        return new BadConfig("config: " + path + field + " " + what);
+    BadConfig error(String field, String problem) {
+        return new BadConfig("config: " + path + field + " " + problem);
     }
 
-    private <T> T get(String field, Class<T> type, String what) throws BadConfig {
+    private <T> T get(String field, Class<T> type, String expected) throws BadConfig {
         Object value = object.opt(field);
         if (value == null || value == JSONObject.NULL) {
             return null;
         }
         if (!type.isInstance(value)) {
-            throw bad(field, "is not " + what);
+            throw error(field, "is not " + expected);
         }
         return type.cast(value);
     }
 
-    private <T> T needed(String field, T value) throws BadConfig {
+    private <T> T required(String field, T value) throws BadConfig {
         if (value == null) {
-            throw bad(field, "is missing");
+            throw error(field, "is missing");
         }
         return value;
     }
 
     Fields object(String field) throws BadConfig {
-        JSONObject inner = get(field, JSONObject.class, "an object");
-        return new Fields(path + field + ".", inner == null ? new JSONObject() : inner);
+        JSONObject nested = get(field, JSONObject.class, "an object");
+        return new Fields(path + field + ".", nested == null ? new JSONObject() : nested);
     }
 
-    JSONObject json(String field) throws BadConfig {
+    JSONObject jsonObject(String field) throws BadConfig {
         return get(field, JSONObject.class, "an object");
     }
 
@@ -55,130 +55,132 @@
         JSONArray array = get(field, JSONArray.class, "a list");
         for (int i = 0; array != null && i < array.length(); i++) {
             if (!(array.opt(i) instanceof JSONObject item)) {
-                throw bad(field + "[" + i + "]", "is not an object");
+                throw error(field + "[" + i + "]", "is not an object");
             }
             items.add(new Fields(path + field + "[" + i + "].", item));
         }
         return items;
     }
 
-    List<String> texts(String field) throws BadConfig {
+    List<String> strings(String field) throws BadConfig {
         List<String> items = new ArrayList<>();
         JSONArray array = get(field, JSONArray.class, "a list");
         for (int i = 0; array != null && i < array.length(); i++) {
             if (!(array.opt(i) instanceof String item)) {
-                throw bad(field + "[" + i + "]", "is not text");
+                throw error(field + "[" + i + "]", "is not text");
             }
             items.add(item);
         }
         return items;
     }
 
-    String text(String field, String absent) throws BadConfig {
+    String string(String field, String defaultValue) throws BadConfig {
         String value = get(field, String.class, "text");
-        return value == null ? absent : value;
+        return value == null ? defaultValue : value;
     }
 
-    String text(String field) throws BadConfig {
-        return needed(field, text(field, null));
+    String string(String field) throws BadConfig {
+        return required(field, string(field, null));
     }
 
-    long whole(String field, long absent) throws BadConfig {
+    long integer(String field, long defaultValue) throws BadConfig {
         Number value = get(field, Number.class, "a number");
-        return value == null ? absent : value.longValue();
+        return value == null ? defaultValue : value.longValue();
     }
 
-    long whole(String field) throws BadConfig {
-        needed(field, object.opt(field));
-        return whole(field, 0);
+    long integer(String field) throws BadConfig {
+        required(field, object.opt(field));
+        return integer(field, 0);
     }
 
-    double real(String field, double absent) throws BadConfig {
+    double decimal(String field, double defaultValue) throws BadConfig {
         Number value = get(field, Number.class, "a number");
-        return value == null ? absent : value.doubleValue();
+        return value == null ? defaultValue : value.doubleValue();
     }
 
-    /** A whole number from {@code least} to {@code most}. */
-    int count(String field, int absent, int least, int most) throws BadConfig {
-        return within(field, whole(field, absent), least, most);
+    /** A whole number from {@code min} to {@code max}. */
+    int intInRange(String field, int defaultValue, int min, int max) throws BadConfig {
+        return checkRange(field, integer(field, defaultValue), min, max);
     }
 
     /** The same, where it has to be there. */
-    int count(String field, int least, int most) throws BadConfig {
-        return within(field, whole(field), least, most);
+    int intInRange(String field, int min, int max) throws BadConfig {
+        return checkRange(field, integer(field), min, max);
     }
 
-    private int within(String field, long value, int least, int most) throws BadConfig {
-        if (value < least || value > most) {
-            throw bad(field, "is not from " + least + " to " + most);
+    private int checkRange(String field, long value, int min, int max) throws BadConfig {
+        if (value < min || value > max) {
+            throw error(field, "is not from " + min + " to " + max);
         }
         return (int) value;
     }
 
     /** A whole number that has to be there. */
-    long atLeast(String field, long least) throws BadConfig {
-        long value = whole(field);
-        if (value < least) {
-            throw bad(field, "is under " + least);
+    long requiredAtLeast(String field, long min) throws BadConfig {
+        long value = integer(field);
+        if (value < min) {
+            throw error(field, "is under " + min);
         }
         return value;
     }
 
     /** A time in microseconds, or whatever else can't be negative. */
-    long span(String field, long absent) throws BadConfig {
-        return notNegative(field, whole(field, absent));
+    long nonNegativeInteger(String field, long defaultValue) throws BadConfig {
+        return checkNonNegative(field, integer(field, defaultValue));
     }
 
-    double amount(String field, double absent) throws BadConfig {
-        return notNegative(field, real(field, absent));
+    double nonNegativeDecimal(String field, double defaultValue) throws BadConfig {
+        return checkNonNegative(field, decimal(field, defaultValue));
     }
 
-    private <N extends Number> N notNegative(String field, N value) throws BadConfig {
+    private <N extends Number> N checkNonNegative(String field, N value) throws BadConfig {
         if (value.doubleValue() < 0) {
-            throw bad(field, "is under 0");
+            throw error(field, "is under 0");
         }
         return value;
     }
 
-    boolean flag(String field) throws BadConfig {
+    boolean bool(String field) throws BadConfig {
         return Boolean.TRUE.equals(get(field, Boolean.class, "true or false"));
     }
 
-    <T> T choice(String field, T absent, Map<String, T> words) throws BadConfig {
-        String word = text(field, null);
-        if (word != null && !words.containsKey(word)) {
-            throw bad(field, "is none of " + words.keySet().stream().sorted().toList());
+    <T> T choice(String field, T defaultValue, Map<String, T> valuesByName) throws BadConfig {
+        String name = string(field, null);
+        if (name != null && !valuesByName.containsKey(name)) {
+            throw error(
+                    field,
+                    "is none of " + valuesByName.keySet().stream().sorted().toList());
         }
-        return word == null ? absent : words.get(word);
+        return name == null ? defaultValue : valuesByName.get(name);
     }
 
     /** A seed of 16 hex digits. */
-    long seed(String field) throws BadConfig {
+    long hexSeed(String field) throws BadConfig {
         try {
-            return Long.parseUnsignedLong(text(field), 16);
+            return Long.parseUnsignedLong(string(field), 16);
         } catch (NumberFormatException e) {
-            throw bad(field, "is not 16 hex digits");
+            throw error(field, "is not 16 hex digits");
         }
     }
 
-    InetSocketAddress address(String field, String absent) throws BadConfig {
-        String text = text(field, absent);
-        return text == null ? null : parsed(field, text);
+    InetSocketAddress address(String field, String defaultValue) throws BadConfig {
+        String text = string(field, defaultValue);
+        return text == null ? null : parseAddress(field, text);
     }
 
     List<InetSocketAddress> addresses(String field) throws BadConfig {
-        List<InetSocketAddress> all = new ArrayList<>();
-        List<String> texts = texts(field);
+        List<InetSocketAddress> addresses = new ArrayList<>();
+        List<String> texts = strings(field);
         for (int i = 0; i < texts.size(); i++) {
-            all.add(parsed(field + "[" + i + "]", texts.get(i)));
+            addresses.add(parseAddress(field + "[" + i + "]", texts.get(i)));
         }
-        return all;
+        return addresses;
     }
 
-    private InetSocketAddress parsed(String field, String text) throws BadConfig {
+    private InetSocketAddress parseAddress(String field, String text) throws BadConfig {
         InetSocketAddress address = Address.parse(text);
         if (address == null) {
-            throw bad(field, "is not an address with a port: " + text);
+            throw error(field, "is not an address with a port: " + text);
         }
         return address;
     }
--- a/balancer/src/main/java/baymoor/inventory/ListMessage.java
+++ b/balancer/src/main/java/baymoor/inventory/ListMessage.java
@@ -16,7 +16,7 @@
     byte NO_NEWER_LIST = 0x53;
 
     /** Running hosts that fit into one datagram. */
-    int MAX_TAGS = (Peers.LONGEST - Reply.HEADER_BYTES) / Integer.BYTES;
+    int MAX_TAGS = (Peers.MAX_DATAGRAM_BYTES - Reply.HEADER_BYTES) / Integer.BYTES;
     /** Datagrams of one reply at most, enough for about 1,800 hosts. */
     int MAX_PARTS = 32;
 
--- a/balancer/src/main/java/baymoor/peers/Peers.java
+++ b/balancer/src/main/java/baymoor/peers/Peers.java
@@ -11,71 +11,71 @@
 public final class Peers {
 
     /** The longest datagram that the settings of a site allow; a longer one voids the run. */
-    public static final int LONGEST = 256;
+    public static final int MAX_DATAGRAM_BYTES = 256;
 
     /** Takes the messages of other balancers. */
     @FunctionalInterface
-    public interface Heard {
-        void message(int from, byte[] content);
+    public interface MessageHandler {
+        void onMessage(int peer, byte[] datagram);
     }
 
     private final List<InetSocketAddress> addresses;
-    private final Map<InetSocketAddress, Integer> numbers = new HashMap<>();
+    private final Map<InetSocketAddress, Integer> indexes = new HashMap<>();
     private final InetSocketAddress self;
-    private final InetSocketAddress everyone;
+    private final InetSocketAddress broadcastAddress;
     private final PeerLink link;
     private final Counters counters;
-    private final Heard heard;
+    private final MessageHandler handler;
 
     /**
      * @param self     this balancer's own address among them, or null
-     * @param everyone the address that reaches all, or null where each has to be told by itself
+     * @param broadcastAddress the address that reaches all, or null where each has to be told by itself
      */
     public Peers(
             List<InetSocketAddress> addresses,
             InetSocketAddress self,
-            InetSocketAddress everyone,
+            InetSocketAddress broadcastAddress,
             PeerLink link,
             Counters counters,
-            Heard heard) {
+            MessageHandler handler) {
         this.self = self;
         this.addresses = List.copyOf(addresses);
         for (int i = 0; i < addresses.size(); i++) {
-            numbers.putIfAbsent(addresses.get(i), i);
+            indexes.putIfAbsent(addresses.get(i), i);
         }
-        this.everyone = everyone;
+        this.broadcastAddress = broadcastAddress;
         this.link = link;
         this.counters = counters;
-        this.heard = heard;
+        this.handler = handler;
     }
 
     /** Tells one peer by its number, or all with a negative one; what can't be sent is lost like any datagram. */
-    public void tell(int peer, byte[] content) {
-        if (peer < 0 && everyone == null && self != null) {
+    public void tell(int peer, byte[] datagram) {
+        if (peer < 0 && broadcastAddress == null && self != null) {
             for (int i = 0; i < addresses.size(); i++) {
                 if (!addresses.get(i).equals(self)) {
-                    tell(i, content);
+                    tell(i, datagram);
                 }
             }
             return;
         }
-        InetSocketAddress to = peer < 0 ? everyone : peer < addresses.size() ? addresses.get(peer) : null;
-        if (to == null || content.length > LONGEST) {
+        InetSocketAddress to = peer < 0 ? broadcastAddress : peer < addresses.size() ? addresses.get(peer) : null;
+        if (to == null || datagram.length > MAX_DATAGRAM_BYTES) {
             counters.add(Count.ACTIONS_IGNORED);
             return;
         }
         counters.add(Count.PEER_SENT);
-        link.send(to, content);
+        link.send(to, datagram);
     }
 
     /** Takes a datagram; one from an address that is no peer's, or too long, is counted and dropped. */
-    public void received(InetSocketAddress from, byte[] content) {
-        int number = numbers.getOrDefault(from, -1);
-        if (number < 0 || content.length > LONGEST) {
+    public void received(InetSocketAddress from, byte[] datagram) {
+        int peer = indexes.getOrDefault(from, -1);
+        if (peer < 0 || datagram.length > MAX_DATAGRAM_BYTES) {
             counters.add(Count.PEER_BAD);
             return;
         }
         counters.add(Count.PEER_HEARD);
-        heard.message(number, content);
+        handler.onMessage(peer, datagram);
     }
 }
