--- a/balancer/src/main/java/baymoor/config/BadConfig.java
+++ b/balancer/src/main/java/baymoor/config/BadConfig.java
@@ -1,6 +1,6 @@
 package baymoor.config;
 
-/** A configuration that can't be used; the text is one plain line that names the field. */
+/** Thrown for an invalid configuration; the message is a single line that names the field. */
 public final class BadConfig extends Exception {
 
     private static final long serialVersionUID = 1;
--- a/balancer/src/main/java/baymoor/config/Config.java
+++ b/balancer/src/main/java/baymoor/config/Config.java
@@ -28,12 +28,12 @@
 import org.json.JSONException;
 import org.json.JSONObject;
 
-/** Turns the environment and the configuration file into {@link Settings}. */
+/** Parses the configuration file and the environment variables into {@link Settings}. */
 public final class Config {
 
     private static final int DEFAULT_SOCKETS = 1024;
     private static final int MIN_SOCKETS = 128;
-    /** Tables are as long as the fleet: far more than any has, and few enough to hold. */
+    /** Bounds the tables that have one entry per balancer. */
     private static final int MAX_BALANCERS = 10_000;
 
     private static final int UNBOUNDED = Integer.MAX_VALUE;
@@ -51,16 +51,21 @@
 
     private Config() {}
 
-    /** The file that {@code ROUTER_CONFIG} names, if it names one. */
+    /** Returns the path in {@code ROUTER_CONFIG}, or nothing if it is unset or no valid path. */
     public static Optional<Path> file(Map<String, String> environment) {
         try {
             return Optional.ofNullable(environment.get("ROUTER_CONFIG")).map(Path::of);
         } catch (InvalidPathException e) {
-            return Optional.empty(); // reading it says so
+            return Optional.empty(); // reported by read()
         }
     }
 
-    /** Reads the file that {@code ROUTER_CONFIG} names; the other variables fill in what it leaves out. */
+    /**
+     * Reads the file named by {@code ROUTER_CONFIG}; {@code ROUTER_NAME}, {@code ROUTER_LISTEN} and {@code ROUTER_DISCOVERY}
+     * are the defaults of its fields.
+     *
+     * @throws BadConfig if the file can't be read, or a field is missing or invalid
+     */
     public static Settings read(Map<String, String> environment) throws BadConfig {
         String file = environment.get("ROUTER_CONFIG");
         if (file == null) {
@@ -73,7 +78,11 @@
         }
     }
 
-    /** Reads the text of a configuration. */
+    /**
+     * Parses the text of a configuration file.
+     *
+     * @throws BadConfig if the text isn't JSON, or a field is missing or invalid
+     */
     public static Settings parse(String text, Map<String, String> environment) throws BadConfig {
         Fields fields;
         try {
@@ -86,7 +95,7 @@
         InetSocketAddress discovery =
                 required("discovery", fields.address("discovery", environment.get("ROUTER_DISCOVERY")));
         int sockets = fields.object("limits").intInRange("sockets", DEFAULT_SOCKETS, MIN_SOCKETS, UNBOUNDED);
-        // The start line has sized the heap by it already; what it could not read is named here, before the listening.
+        // Used by the start script to size the heap; only validated here.
         fields.object("limits").requiredAtLeast("memory_mb", 1);
         JSONObject configuredList = fields.jsonObject("known");
         Decisions.Settings decisions = decisionSettings(fields.object("settings"), fields.hexSeed("seed"));
@@ -153,7 +162,7 @@
         Set<String> names = new HashSet<>();
         for (Fields item : fields.objects("classes")) {
             if (!names.add(item.string("name"))) {
-                throw item.error("name", "names a class that there is already");
+                throw item.error("name", "repeats the name of an earlier class");
             }
             classes.add(new RequestClass(
                     item.string("name"),
--- a/balancer/src/main/java/baymoor/config/Fields.java
+++ b/balancer/src/main/java/baymoor/config/Fields.java
@@ -8,10 +8,15 @@
 import org.json.JSONArray;
 import org.json.JSONObject;
 
-/** Reads the fields of one JSON object; what is there but wrong is an error that names the whole path. */
+/**
+ * Reads the typed fields of one JSON object. Fields that are absent or null take the given default or, in methods without one,
+ * are an error, as is a value of the wrong type or out of range. Errors name the field by its full path.
+ */
 final class Fields {
 
+    /** Prefix of the fields' names in error messages: empty, or ending in a dot. */
     private final String path;
+
     private final JSONObject object;
 
     Fields(String path, JSONObject object) {
@@ -19,6 +24,7 @@
         this.object = object;
     }
 
+    /** Creates an exception that names a field and its problem. */
     BadConfig error(String field, String problem) {
         return new BadConfig("config: " + path + field + " " + problem);
     }
@@ -41,11 +47,13 @@
         return value;
     }
 
+    /** Returns a nested object, empty if it is absent. */
     Fields object(String field) throws BadConfig {
         JSONObject nested = get(field, JSONObject.class, "an object");
         return new Fields(path + field + ".", nested == null ? new JSONObject() : nested);
     }
 
+    /** Returns a nested object as it is, or null if it is absent. */
     JSONObject jsonObject(String field) throws BadConfig {
         return get(field, JSONObject.class, "an object");
     }
@@ -98,12 +106,12 @@
         return value == null ? defaultValue : value.doubleValue();
     }
 
-    /** A whole number from {@code min} to {@code max}. */
+    /** Returns an integer from {@code min} to {@code max}; the default isn't exempt from this range. */
     int intInRange(String field, int defaultValue, int min, int max) throws BadConfig {
         return checkRange(field, integer(field, defaultValue), min, max);
     }
 
-    /** The same, where it has to be there. */
+    /** Returns a required integer from {@code min} to {@code max}. */
     int intInRange(String field, int min, int max) throws BadConfig {
         return checkRange(field, integer(field), min, max);
     }
@@ -115,7 +123,7 @@
         return (int) value;
     }
 
-    /** A whole number that has to be there. */
+    /** Returns a required integer of at least {@code min}. */
     long requiredAtLeast(String field, long min) throws BadConfig {
         long value = integer(field);
         if (value < min) {
@@ -124,7 +132,7 @@
         return value;
     }
 
-    /** A time in microseconds, or whatever else can't be negative. */
+    /** Returns an integer that can't be negative, such as a duration in microseconds. */
     long nonNegativeInteger(String field, long defaultValue) throws BadConfig {
         return checkNonNegative(field, integer(field, defaultValue));
     }
@@ -140,21 +148,23 @@
         return value;
     }
 
+    /** Returns a boolean, false if it is absent. */
     boolean bool(String field) throws BadConfig {
         return Boolean.TRUE.equals(get(field, Boolean.class, "true or false"));
     }
 
+    /** Returns the value that the field's text names. */
     <T> T choice(String field, T defaultValue, Map<String, T> valuesByName) throws BadConfig {
         String name = string(field, null);
         if (name != null && !valuesByName.containsKey(name)) {
             throw error(
                     field,
-                    "is none of " + valuesByName.keySet().stream().sorted().toList());
+                    "is not one of " + valuesByName.keySet().stream().sorted().toList());
         }
         return name == null ? defaultValue : valuesByName.get(name);
     }
 
-    /** A seed of 16 hex digits. */
+    /** Returns a required 64-bit seed, given in hexadecimal. */
     long hexSeed(String field) throws BadConfig {
         try {
             return Long.parseUnsignedLong(string(field), 16);
--- a/balancer/src/main/java/baymoor/config/Settings.java
+++ b/balancer/src/main/java/baymoor/config/Settings.java
@@ -6,8 +6,17 @@
 import org.json.JSONObject;
 
 /**
- * All that one balancer is told at start. {@code peerListen} and {@code peersAll} are null where balancers may not
- * speak with each other; {@code known} is the inventory as last held, in discovery's own form.
+ * The configuration of one balancer.
+ *
+ * @param name       the balancer's name
+ * @param listen     address on which clients are accepted
+ * @param discovery  address of discovery, or of the agent where lists are pushed
+ * @param peerListen address on which peers' datagrams are received, or null if peers don't communicate
+ * @param peers      addresses of all balancers by index, this one included
+ * @param peersAll   broadcast address of the peers, or null if there is none
+ * @param sockets    maximum number of open sockets
+ * @param known      the server list to start with, as discovery's JSON, or null
+ * @param module     settings of the decision module
  */
 public record Settings(
         String name,
--- a/balancer/src/main/java/baymoor/peers/PeerLink.java
+++ b/balancer/src/main/java/baymoor/peers/PeerLink.java
@@ -2,8 +2,9 @@
 
 import java.net.InetSocketAddress;
 
-/** Sends one datagram, or loses it. */
+/** Sends datagrams without any guarantee of delivery. */
 @FunctionalInterface
 public interface PeerLink {
+    /** Sends one datagram. */
     void send(InetSocketAddress to, byte[] datagram);
 }
--- a/balancer/src/main/java/baymoor/peers/Peers.java
+++ b/balancer/src/main/java/baymoor/peers/Peers.java
@@ -7,13 +7,16 @@
 import java.util.List;
 import java.util.Map;
 
-/** The other balancers of the tier: numbers to addresses and back, and the size of what they may send. */
+/**
+ * The balancers of the tier: maps their indexes to addresses and back, and limits the size of datagrams. Used on the decision
+ * thread.
+ */
 public final class Peers {
 
-    /** The longest datagram that the settings of a site allow; a longer one voids the run. */
+    /** The longest datagram that a site's rules allow. */
     public static final int MAX_DATAGRAM_BYTES = 256;
 
-    /** Takes the messages of other balancers. */
+    /** Receives the datagrams of peers, with the sender's index. */
     @FunctionalInterface
     public interface MessageHandler {
         void onMessage(int peer, byte[] datagram);
@@ -28,8 +31,11 @@
     private final MessageHandler handler;
 
     /**
-     * @param self     this balancer's own address among them, or null
-     * @param broadcastAddress the address that reaches all, or null where each has to be told by itself
+     * Creates the mapping.
+     *
+     * @param addresses        the balancers' addresses by index
+     * @param self             this balancer's own address among them, or null
+     * @param broadcastAddress address that reaches all balancers, or null if datagrams are sent to each one
      */
     public Peers(
             List<InetSocketAddress> addresses,
@@ -49,7 +55,11 @@
         this.handler = handler;
     }
 
-    /** Tells one peer by its number, or all with a negative one; what can't be sent is lost like any datagram. */
+    /**
+     * Sends a datagram to one peer, or to all. One that is too long or has an unknown peer is counted and dropped.
+     *
+     * @param peer the peer's index, or a negative number for all peers
+     */
     public void tell(int peer, byte[] datagram) {
         if (peer < 0 && broadcastAddress == null && self != null) {
             for (int i = 0; i < addresses.size(); i++) {
@@ -68,7 +78,7 @@
         link.send(to, datagram);
     }
 
-    /** Takes a datagram; one from an address that is no peer's, or too long, is counted and dropped. */
+    /** Passes a datagram to the handler; one from an unknown address or one that is too long is counted and dropped. */
     public void received(InetSocketAddress from, byte[] datagram) {
         int peer = indexes.getOrDefault(from, -1);
         if (peer < 0 || datagram.length > MAX_DATAGRAM_BYTES) {
