--- a/balancer/src/main/java/baymoor/config/BadConfig.java
+++ b/balancer/src/main/java/baymoor/config/BadConfig.java
@@ -5,7 +5,7 @@
 
     private static final long serialVersionUID = 1;
 
-    public BadConfig(String what) {
-        super(what, null, false, false);
+    public BadConfig(String message) {
+        super(message, null, false, false);
     }
 }
--- a/balancer/src/test/java/baymoor/config/ConfigTest.java
+++ b/balancer/src/test/java/baymoor/config/ConfigTest.java
@@ -10,7 +10,7 @@
 
 public class ConfigTest {
 
-    static final String GOOD = """
+    static final String VALID = """
             {"name":"n0","listen":"127.0.0.1:6379","discovery":"127.0.0.1:8500","seed":"92094eb940cf389a",
              "limits":{"sockets":1024,"memory_mb":128},"peers":["127.0.0.1:1"],
              "settings":{"me":0,"siblings":1,"tick":5000,"tenants":[],"extra":{"mode":"aside","origin_kind":1},
@@ -18,17 +18,17 @@
               "limits":{"max_attempts":5,"connect_timeout":250000}}}""";
 
     @Test
-    public void aGoodOneIsReadUnderTheWiresNames() throws BadConfig {
-        Settings s = Config.parse(GOOD, Map.of());
-        assertEquals("n0", s.name());
-        assertEquals(0x92094eb940cf389aL, s.module().seed());
-        assertEquals(Decisions.Mode.ASIDE, s.module().origin().mode());
-        assertEquals(Decisions.Effect.SAFE, s.module().classes().get(0).effect());
-        assertEquals(250000, s.module().limits().connectTimeoutMicros());
+    public void validConfigurationIsParsed() throws BadConfig {
+        Settings settings = Config.parse(VALID, Map.of());
+        assertEquals("n0", settings.name());
+        assertEquals(0x92094eb940cf389aL, settings.module().seed());
+        assertEquals(Decisions.Mode.ASIDE, settings.module().origin().mode());
+        assertEquals(Decisions.Effect.SAFE, settings.module().classes().get(0).effect());
+        assertEquals(250000, settings.module().limits().connectTimeoutMicros());
     }
 
     @Test
-    public void aBadFieldIsNamedInOneLine() {
+    public void invalidFieldIsNamedInASingleLine() {
         String[][] cases = {
             {"\"127.0.0.1:6379\"", "\"localhost:6379\"", "listen"},
             {"\"127.0.0.1:6379\"", "\"127.0.0.1:70000\"", "listen"},
@@ -56,11 +56,13 @@
             {"{\"name\":\"n0\"", "{{", "not JSON"},
         };
         for (String[] c : cases) {
-            assertTrue(c[0], GOOD.contains(c[0]));
-            BadConfig e = assertThrows(c[1], BadConfig.class, () -> Config.parse(GOOD.replace(c[0], c[1]), Map.of()));
+            assertTrue(c[0], VALID.contains(c[0]));
+            BadConfig error =
+                    assertThrows(c[1], BadConfig.class, () -> Config.parse(VALID.replace(c[0], c[1]), Map.of()));
             assertTrue(
-                    e.getMessage(),
-                    e.getMessage().contains(c[2]) && e.getMessage().lines().count() == 1);
+                    error.getMessage(),
+                    error.getMessage().contains(c[2])
+                            && error.getMessage().lines().count() == 1);
         }
     }
 }
--- a/balancer/src/test/java/baymoor/inventory/CallPacingTest.java
+++ b/balancer/src/test/java/baymoor/inventory/CallPacingTest.java
@@ -11,7 +11,7 @@
 
 public class CallPacingTest {
 
-    private static final int[] TIERS = {2, 3, 7, 20, 100, 110, 640};
+    private static final int[] TIER_SIZES = {2, 3, 7, 20, 100, 110, 640};
 
     private static List<CallPacing> tier(int callers) {
         return IntStream.range(0, callers)
@@ -19,12 +19,12 @@
                 .toList();
     }
 
-    private static List<Long> pauses(List<CallPacing> tier) {
+    private static List<Long> delays(List<CallPacing> tier) {
         return tier.stream().map(CallPacing::nextDelayMicros).sorted().toList();
     }
 
     @Test
-    public void oneThatIsAloneNeverWaits() {
+    public void singleBalancerIsNeverDelayed() {
         CallPacing pacing = new CallPacing(1, 0, 7);
         for (int i = 0; i < 9; i++) {
             assertEquals(0, pacing.nextDelayMicros());
@@ -34,17 +34,17 @@
 
     /** Those that begin together come one after another, in the first round and in all later ones. */
     @Test
-    public void aTierThatBeginsTogetherIsSpacedEvenly() {
-        for (int callers : TIERS) {
+    public void simultaneousCallersAreSpacedEvenly() {
+        for (int callers : TIER_SIZES) {
             List<CallPacing> tier = tier(callers);
             for (int round = 0; round < 8; round++) {
                 long window = tier.get(0).windowMicros();
-                List<Long> pauses = pauses(tier);
-                for (int slot = 0; slot < callers; slot++) {
-                    long pause = pauses.get(slot);
+                List<Long> delays = delays(tier);
+                for (int position = 0; position < callers; position++) {
+                    long delay = delays.get(position);
                     assertTrue(
-                            callers + " callers, turn " + slot + ": " + pause,
-                            pause >= slot * window / callers - 1 && pause <= (slot + 1) * window / callers + 1);
+                            callers + " callers, turn " + position + ": " + delay,
+                            delay >= position * window / callers - 1 && delay <= (position + 1) * window / callers + 1);
                 }
                 tier.forEach(pacing -> pacing.recordOutcome(Outcome.REJECTED));
             }
@@ -52,28 +52,29 @@
     }
 
     @Test
-    public void nobodyIsAlwaysLast() {
+    public void positionsRotateAmongCallers() {
         for (int callers : new int[] {20, 110, 640}) {
             for (CallPacing pacing : tier(callers)) {
-                List<Long> pauses = new ArrayList<>();
+                List<Long> delays = new ArrayList<>();
                 for (int round = 0; round < 12; round++) {
-                    pauses.add(pacing.nextDelayMicros());
+                    delays.add(pacing.nextDelayMicros());
                 }
-                double mean = pauses.stream().mapToLong(p -> p).average().orElse(0) / pacing.windowMicros();
+                double mean =
+                        delays.stream().mapToLong(delay -> delay).average().orElse(0) / pacing.windowMicros();
                 assertTrue(callers + " callers, mean " + mean, mean > 0.3 && mean < 0.7);
             }
         }
     }
 
     @Test
-    public void theFirstWindowGrowsWithTheTier() {
-        for (int callers : TIERS) {
+    public void initialWindowIsProportionalToTheTier() {
+        for (int callers : TIER_SIZES) {
             assertEquals((callers - 1) * 20_000L, new CallPacing(callers, 0, 1).windowMicros());
         }
     }
 
     @Test
-    public void callsTurnedDownDoubleTheWindowUpToABoundAndAnAnswerResetsIt() {
+    public void rejectionsDoubleTheWindowUpToABoundAndAnAnswerResetsIt() {
         CallPacing pacing = new CallPacing(100, 3, 1);
         long first = pacing.windowMicros();
         for (int doublings : new int[] {1, 2, 3, 3, 3}) {
@@ -97,23 +98,23 @@
 
     /** Discovery is known to let calls wait 2 and 3 s: what waits its turn there is not dead. */
     @Test
-    public void aCallIsTakenForDeadLaterWhereItMayJustBeWaitingItsTurn() {
+    public void callThatMayBeQueuedIsHedgedLater() {
         assertEquals(2_000_000, new CallPacing(1, 0, 1).hedgeDelayMicros());
         assertEquals(2_000_000, new CallPacing(20, 0, 1).hedgeDelayMicros());
         for (int callers : new int[] {110, 640}) {
             assertTrue(new CallPacing(callers, 0, 1).hedgeDelayMicros() > 3_000_000);
         }
-        CallPacing overbooked = new CallPacing(5, 0, 1);
-        overbooked.recordOutcome(Outcome.REJECTED);
-        assertTrue(overbooked.hedgeDelayMicros() > 3_000_000);
+        CallPacing overloaded = new CallPacing(5, 0, 1);
+        overloaded.recordOutcome(Outcome.REJECTED);
+        assertTrue(overloaded.hedgeDelayMicros() > 3_000_000);
     }
 
     @Test
-    public void theSameSeedGivesTheSamePauses() {
-        CallPacing one = new CallPacing(100, 9, 5);
-        CallPacing other = new CallPacing(100, 9, 5);
+    public void sameSeedGivesTheSameDelays() {
+        CallPacing first = new CallPacing(100, 9, 5);
+        CallPacing second = new CallPacing(100, 9, 5);
         for (int i = 0; i < 50; i++) {
-            assertEquals(one.nextDelayMicros(), other.nextDelayMicros());
+            assertEquals(first.nextDelayMicros(), second.nextDelayMicros());
         }
     }
 }
--- a/balancer/src/test/java/baymoor/inventory/AttendedAgentTest.java
+++ b/balancer/src/test/java/baymoor/inventory/ContinuousWatchTest.java
@@ -16,14 +16,14 @@
 import org.junit.Test;
 
 /** Where lists are pushed: the watch on the agent that is held for good, and lists that come spoilt. */
-public class AttendedAgentTest {
+public class ContinuousWatchTest {
 
-    private static final long GRACE = 250_000;
+    private static final long GRACE_MICROS = 250_000;
 
     private final ManualTime time = new ManualTime();
     private final Counters counters = new Counters();
     private final Inventory inventory = new Inventory(millis -> millis * 1000, counters);
-    private final List<ServerList> told = new ArrayList<>();
+    private final List<ServerList> events = new ArrayList<>();
     private final List<FakeLink> links = new ArrayList<>();
     private final List<Integer> ports = new ArrayList<>();
     private final Discovery discovery = new Discovery(
@@ -40,35 +40,36 @@
             counters,
             new CallPacing(1, 0, 1),
             ListConfirmation.notNeeded(),
-            told::add);
+            events::add);
 
     private static String entry(String name, String status) {
         return "{\"name\":\"" + name + "\",\"address\":\"127.0.0.1:7\",\"status\":\"" + status + "\"}";
     }
 
-    private static String list(int index, boolean whole, String... entries) {
-        return "{\"index\":" + index + ",\"snapshot\":" + whole + ",\"endpoints\":[" + String.join(",", entries) + "]}";
+    private static String list(int index, boolean snapshot, String... entries) {
+        return "{\"index\":" + index + ",\"snapshot\":" + snapshot + ",\"endpoints\":[" + String.join(",", entries)
+                + "]}";
     }
 
-    private FakeLink last() {
+    private FakeLink lastLink() {
         return links.get(links.size() - 1);
     }
 
-    private static void line(FakeLink link, String text) {
+    private static void sendLine(FakeLink link, String text) {
         link.in(Integer.toHexString(text.length() + 1) + "\r\n" + text + "\n\r\n");
     }
 
-    private FakeLink answered() {
-        FakeLink link = last();
+    private FakeLink acceptLastCall() {
+        FakeLink link = lastLink();
         link.events.opened();
         link.in("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         return link;
     }
 
     private FakeLink attend(String... entries) {
-        discovery.attend(GRACE);
-        FakeLink link = answered();
-        line(link, list(10, true, entries));
+        discovery.attend(GRACE_MICROS);
+        FakeLink link = acceptLastCall();
+        sendLine(link, list(10, true, entries));
         return link;
     }
 
@@ -76,158 +77,158 @@
         return inventory.entry(Inventory.hash(name)).state();
     }
 
-    private String lastKind() {
-        return told.get(told.size() - 1).kind().toString();
+    private String lastEventKind() {
+        return events.get(events.size() - 1).kind().toString();
     }
 
     @Test
-    public void aWatchThatEndsIsOpenedAnewAtOnceFromTheVersionHeld() {
+    public void endedWatchIsReopenedAtOnceFromTheVersionHeld() {
         FakeLink link = attend(entry("s-a", "in_service"));
         time.pass(2_000_000);
         link.events.closed();
         time.pass(0);
         assertEquals(2, links.size());
-        assertTrue(last().takeOut().isEmpty());
-        last().events.opened();
-        assertTrue(last().takeOut().contains("watch=1&from=10"));
-        assertEquals("no failure is told of: the list held is the best there is", 1, told.size());
+        assertTrue(lastLink().takeOut().isEmpty());
+        lastLink().events.opened();
+        assertTrue(lastLink().takeOut().contains("watch=1&from=10"));
+        assertEquals("no failure is told of: the list held is the best there is", 1, events.size());
     }
 
     @Test
-    public void anAgentThatIsNotThereIsTriedCalmlyForEverAndSoonEnoughForTheGrace() {
-        discovery.attend(GRACE);
+    public void unreachableAgentIsRetriedWithinTheGraceAndAtABoundedRate() {
+        discovery.attend(GRACE_MICROS);
         int seconds = 600;
         for (long end = time.now() + seconds * 1_000_000L; time.now() < end; ) {
-            last().events.closed();
-            int before = links.size();
+            lastLink().events.closed();
+            int callsBefore = links.size();
             long from = time.now();
-            while (links.size() == before) {
+            while (links.size() == callsBefore) {
                 time.pass(1_000);
             }
-            assertTrue("tried again within half of the grace", time.now() - from <= GRACE / 2);
+            assertTrue("tried again within half of the grace", time.now() - from <= GRACE_MICROS / 2);
         }
         assertTrue(links.size() + " calls", links.size() < seconds * 9);
-        line(answered(), list(3, true, entry("s-a", "terminating")));
+        sendLine(acceptLastCall(), list(3, true, entry("s-a", "terminating")));
         assertEquals(State.DRAINING, state("s-a"));
     }
 
     @Test
-    public void aWatchThatEndsOverAndOverIsNoLoop() {
+    public void repeatedlyEndingWatchIsReopenedAtABoundedRate() {
         attend(entry("s-a", "in_service"));
         for (int i = 0; i < 1_000; i++) {
-            last().events.closed();
+            lastLink().events.closed();
             time.pass(10_000);
-            if (!last().closed) {
-                answered();
+            if (!lastLink().closed) {
+                acceptLastCall();
             }
         }
         assertTrue(links.size() + " calls in 10 s", links.size() < 100);
     }
 
     @Test
-    public void aSilentWatchStaysUntilAnotherAnswers() {
-        FakeLink old = attend(entry("s-a", "in_service"));
+    public void idleWatchIsKeptUntilAnotherIsEstablished() {
+        FakeLink oldWatch = attend(entry("s-a", "in_service"));
         for (int i = 0; i < 20; i++) {
             time.pass(1_000_000);
         }
-        assertFalse("discovery is down: the agent may have nothing to tell", old.closed);
+        assertFalse("discovery is down: the agent may have nothing to tell", oldWatch.closed);
         assertTrue("others were tried", links.size() > 4);
-        line(old, list(11, false, entry("s-a", "terminating")));
+        sendLine(oldWatch, list(11, false, entry("s-a", "terminating")));
         assertEquals(State.DRAINING, state("s-a"));
-        FakeLink fresh = answered();
-        assertTrue(old.closed);
-        line(fresh, list(12, false, entry("s-a", "terminated")));
+        FakeLink newWatch = acceptLastCall();
+        assertTrue(oldWatch.closed);
+        sendLine(newWatch, list(12, false, entry("s-a", "terminated")));
         assertEquals(State.GONE, state("s-a"));
     }
 
     @Test
-    public void movingKeepsListAndWatchUntilTheNewAgentAnswersHoweverLate() {
-        FakeLink old = attend(entry("s-a", "in_service"));
+    public void addressChangeKeepsTheOldWatchUntilTheNewAgentAnswers() {
+        FakeLink oldWatch = attend(entry("s-a", "in_service"));
         discovery.move(new InetSocketAddress("127.0.0.1", 2));
         for (int i = 0; i < 100; i++) {
-            last().events.closed();
-            time.pass(GRACE / 2);
+            lastLink().events.closed();
+            time.pass(GRACE_MICROS / 2);
         }
-        assertFalse(old.closed);
-        line(old, list(11, false, entry("s-a", "terminating")));
+        assertFalse(oldWatch.closed);
+        sendLine(oldWatch, list(11, false, entry("s-a", "terminating")));
         assertEquals(State.DRAINING, state("s-a"));
-        answered();
-        assertTrue(old.closed);
+        acceptLastCall();
+        assertTrue(oldWatch.closed);
         assertEquals(2, (int) ports.get(ports.size() - 1));
     }
 
     @Test
-    public void movingWhileNoAgentAnswersGoesToTheNewOneAtOnce() {
-        discovery.attend(GRACE);
-        last().events.closed();
+    public void addressChangeWithoutAWatchCallsTheNewAgentAtOnce() {
+        discovery.attend(GRACE_MICROS);
+        lastLink().events.closed();
         discovery.move(new InetSocketAddress("127.0.0.1", 2));
         assertEquals(List.of(1, 2), ports);
     }
 
     @Test
-    public void aListThatGoesBackIsCountedAndTheWholeOneAskedFor() {
+    public void olderListIsCountedAndTheWholeListFetched() {
         FakeLink link = attend(entry("s-a", "terminating"));
-        line(link, list(9, false, entry("s-a", "in_service")));
+        sendLine(link, list(9, false, entry("s-a", "in_service")));
         assertEquals("a drain that was told of is not taken back", State.DRAINING, state("s-a"));
         assertEquals(1, counters.get(Count.INVENTORY_BAD));
         assertEquals(2, links.size());
-        last().events.opened();
-        assertTrue(last().takeOut().startsWith("GET /v1/servers HTTP"));
-        last().in("HTTP/1.1 200 OK\r\n\r\n" + list(12, true, entry("s-b", "in_service")));
-        last().events.closed();
+        lastLink().events.opened();
+        assertTrue(lastLink().takeOut().startsWith("GET /v1/servers HTTP"));
+        lastLink().in("HTTP/1.1 200 OK\r\n\r\n" + list(12, true, entry("s-b", "in_service")));
+        lastLink().events.closed();
         assertEquals(State.GONE, state("s-a"));
         assertEquals(State.RUNNING, state("s-b"));
     }
 
     @Test
-    public void aServiceThatBeganAnewIsBelievedInTheEnd() {
+    public void repeatedOlderWholeListIsAcceptedAsAReset() {
         FakeLink link = attend(entry("s-a", "in_service"));
-        line(link, list(2, true, entry("s-b", "in_service")));
-        line(link, list(2, true, entry("s-b", "in_service")));
+        sendLine(link, list(2, true, entry("s-b", "in_service")));
+        sendLine(link, list(2, true, entry("s-b", "in_service")));
         assertEquals(State.RUNNING, state("s-a"));
-        line(link, list(2, true, entry("s-b", "in_service")));
+        sendLine(link, list(2, true, entry("s-b", "in_service")));
         assertEquals(State.GONE, state("s-a"));
         assertEquals(2, inventory.version());
     }
 
     @Test
-    public void aLineSaidTwiceChangesNothing() {
+    public void repeatedLineChangesNothing() {
         FakeLink link = attend(entry("s-a", "in_service"));
         for (int i = 0; i < 2; i++) {
-            line(link, list(11, false, entry("s-a", "terminating")));
+            sendLine(link, list(11, false, entry("s-a", "terminating")));
             assertEquals(State.DRAINING, state("s-a"));
         }
         assertEquals(0, counters.get(Count.INVENTORY_BAD));
     }
 
     @Test
-    public void aHostNamedTwiceGoesByTheMoreCarefulWord() {
+    public void duplicateEntryTakesTheStateCloserToRemoval() {
         FakeLink link = attend(entry("s-a", "in_service"), entry("s-b", "in_service"));
-        line(link, list(11, false, entry("s-a", "terminating"), entry("s-a", "in_service")));
+        sendLine(link, list(11, false, entry("s-a", "terminating"), entry("s-a", "in_service")));
         assertEquals(State.DRAINING, state("s-a"));
-        assertEquals(1, told.get(told.size() - 1).servers().size());
+        assertEquals(1, events.get(events.size() - 1).servers().size());
         assertEquals("the whole list is asked for", 2, links.size());
     }
 
     @Test
-    public void aWholeListWithASpoiltEntryTakesNobodyOutUntilItComesSoAgain() {
+    public void wholeListWithAMalformedEntryRemovesHostsOnlyWhenRepeated() {
         FakeLink link = attend(entry("s-a", "in_service"), entry("s-b", "in_service"));
-        String spoilt = list(11, true, entry("s-a", "terminating"), "{\"name\":\"s-\u00ff\"}");
-        line(link, spoilt);
-        assertEquals("CHANGES", lastKind());
+        String malformed = list(11, true, entry("s-a", "terminating"), "{\"name\":\"s-\u00ff\"}");
+        sendLine(link, malformed);
+        assertEquals("CHANGES", lastEventKind());
         assertEquals(State.DRAINING, state("s-a"));
         assertEquals(State.RUNNING, state("s-b"));
-        last().events.opened();
-        last().in("HTTP/1.1 200 OK\r\n\r\n" + spoilt);
-        last().events.closed();
-        assertEquals("WHOLE", lastKind());
+        lastLink().events.opened();
+        lastLink().in("HTTP/1.1 200 OK\r\n\r\n" + malformed);
+        lastLink().events.closed();
+        assertEquals("WHOLE", lastEventKind());
         assertEquals(State.GONE, state("s-b"));
         time.pass(1_000_000);
         assertEquals("asked once", 2, links.size());
     }
 
     @Test
-    public void aLineThatNeverEndsIsSilence() {
+    public void unfinishedLineCountsAsIdle() {
         FakeLink link = attend(entry("s-a", "in_service"));
         link.in("fffff\r\n");
         for (int i = 0; i < 40; i++) {
@@ -238,17 +239,17 @@
     }
 
     @Test
-    public void anAskThatFailsIsRepeatedUntilItIsAnswered() {
+    public void failedListCallIsRetriedUntilItIsAnswered() {
         FakeLink link = attend(entry("s-a", "in_service"));
-        line(link, "nonsense");
+        sendLine(link, "nonsense");
         for (int i = 0; i < 5; i++) {
-            last().events.closed();
-            time.pass(GRACE / 2);
+            lastLink().events.closed();
+            time.pass(GRACE_MICROS / 2);
         }
         assertEquals(7, links.size());
-        last().events.opened();
-        last().in("HTTP/1.1 200 OK\r\n\r\n" + list(11, true, entry("s-a", "terminating")));
-        last().events.closed();
+        lastLink().events.opened();
+        lastLink().in("HTTP/1.1 200 OK\r\n\r\n" + list(11, true, entry("s-a", "terminating")));
+        lastLink().events.closed();
         time.pass(10_000);
         assertEquals(State.DRAINING, state("s-a"));
         assertEquals(7, links.size());
--- a/balancer/src/test/java/baymoor/inventory/DiscoveryTurnsTest.java
+++ b/balancer/src/test/java/baymoor/inventory/DiscoveryPacingTest.java
@@ -15,10 +15,10 @@
 import org.junit.Test;
 
 /** What calls for the list and the watch tell the turns of calls and the confirmation of the list. */
-public class DiscoveryTurnsTest {
+public class DiscoveryPacingTest {
 
-    private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-    private static final String BUSY = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
+    private static final String OK_HEADERS = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+    private static final String REJECTED = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
     private static final int BALANCERS = 100;
     private static final long SECOND = 1_000_000;
 
@@ -26,9 +26,9 @@
     private final Counters counters = new Counters();
     private final Inventory inventory = new Inventory(millis -> millis * 1000, counters);
     private final ListConfirmation confirmation = ListConfirmation.from(time.now(), true);
-    private final List<ServerList> told = new ArrayList<>();
+    private final List<ServerList> events = new ArrayList<>();
     private final List<FakeLink> links = new ArrayList<>();
-    private int unwatched;
+    private int watchLosses;
     private final Discovery discovery = new Discovery(
             new InetSocketAddress("127.0.0.1", 1),
             (to, events) -> {
@@ -42,45 +42,45 @@
             counters,
             new CallPacing(BALANCERS, 50, 1),
             confirmation,
-            told::add);
+            events::add);
 
-    public DiscoveryTurnsTest() {
-        discovery.whenUnwatched(() -> unwatched++);
+    public DiscoveryPacingTest() {
+        discovery.whenUnwatched(() -> watchLosses++);
     }
 
     private static String chunk(String text) {
         return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
     }
 
-    private static String list(long index) {
+    private static String wholeListChunk(long index) {
         return chunk("{\"index\":" + index + ",\"snapshot\":true,\"endpoints\":[]}\n");
     }
 
-    private FakeLink last() {
+    private FakeLink lastLink() {
         return links.get(links.size() - 1);
     }
 
     /** Orders a watch, and gives how long it was until the call went out. */
-    private long ordered() {
-        int before = links.size();
+    private long requestWatchAndAwaitCall() {
+        int callsBefore = links.size();
         long since = time.now();
         discovery.watch(true);
-        while (links.size() == before) {
+        while (links.size() == callsBefore) {
             time.pass(1_000);
             assertTrue(time.now() - since < 60 * SECOND);
         }
         return time.now() - since;
     }
 
-    private FakeLink watched() {
-        ordered();
-        last().events.opened();
-        last().in(HEAD + list(3));
-        return last();
+    private FakeLink establishWatch() {
+        requestWatchAndAwaitCall();
+        lastLink().events.opened();
+        lastLink().in(OK_HEADERS + wholeListChunk(3));
+        return lastLink();
     }
 
     @Test
-    public void aCallWaitsForItsTurnAndAnOrderMeanwhileMakesNoSecondOne() {
+    public void watchCallIsDelayedAndARepeatedRequestStartsNoSecondCall() {
         discovery.watch(true);
         assertEquals("number 50 of 100", 0, links.size());
         discovery.watch(true);
@@ -89,7 +89,7 @@
     }
 
     @Test
-    public void aWatchThatIsNotWantedAnyMoreIsNotCalledFor() {
+    public void cancelledWatchRequestStartsNoCall() {
         discovery.watch(true);
         discovery.watch(false);
         time.pass(10 * SECOND);
@@ -97,24 +97,26 @@
     }
 
     @Test
-    public void callsTurnedDownComeLaterAndLater() {
-        List<Long> waits = new ArrayList<>();
+    public void rejectedCallsBackOff() {
+        List<Long> delays = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
-            waits.add(ordered());
-            last().events.opened();
-            last().in(BUSY);
+            delays.add(requestWatchAndAwaitCall());
+            lastLink().events.opened();
+            lastLink().in(REJECTED);
         }
-        assertTrue(waits.toString(), waits.get(0) <= 2 * SECOND);
-        double mean =
-                waits.subList(8, 40).stream().mapToLong(wait -> wait).average().orElse(0);
-        assertTrue(waits.toString(), mean > 6 * SECOND && mean < 10 * SECOND);
+        assertTrue(delays.toString(), delays.get(0) <= 2 * SECOND);
+        double mean = delays.subList(8, 40).stream()
+                .mapToLong(delay -> delay)
+                .average()
+                .orElse(0);
+        assertTrue(delays.toString(), mean > 6 * SECOND && mean < 10 * SECOND);
     }
 
     /** Discovery is known to let calls wait for 3 s, and a second call for the same watch would only make the queue longer. */
     @Test
-    public void aCallThatMayBeWaitingItsTurnGetsNoSecondOneBesideIt() {
-        ordered();
-        last().events.opened();
+    public void callThatMayBeQueuedIsNotHedgedEarly() {
+        requestWatchAndAwaitCall();
+        lastLink().events.opened();
         time.pass(3 * SECOND);
         assertEquals(1, links.size());
         time.pass(SECOND / 2);
@@ -123,8 +125,8 @@
     }
 
     @Test
-    public void aCallWithoutAConnectionIsDeadSooner() {
-        ordered();
+    public void callWithoutAConnectionIsHedgedEarlier() {
+        requestWatchAndAwaitCall();
         time.pass(2 * SECOND - 10_000);
         assertEquals(1, links.size());
         time.pass(20_000);
@@ -132,91 +134,91 @@
     }
 
     @Test
-    public void callsThatWerePutOffComeSoonerOnceAnotherOneHasTheList() {
-        watched().events.closed();
+    public void delayedCallIsRescheduledOnceAPeerHasTheList() {
+        establishWatch().events.closed();
         for (int i = 0; i < 6; i++) {
-            ordered();
-            last().events.opened();
-            last().in(BUSY);
+            requestWatchAndAwaitCall();
+            lastLink().events.opened();
+            lastLink().in(REJECTED);
         }
         discovery.watch(true);
-        int before = links.size();
+        int callsBefore = links.size();
         discovery.heardFromOthers();
         time.pass(SECOND);
-        assertEquals("they know no more", before, links.size());
+        assertEquals("they know no more", callsBefore, links.size());
         confirmation.recordComplete(time.now());
         discovery.heardFromOthers();
         long since = time.now();
-        while (links.size() == before) {
+        while (links.size() == callsBefore) {
             time.pass(1_000);
         }
         assertTrue(time.now() - since + " us", time.now() - since <= 8 * SECOND);
-        last().events.opened();
-        last().in(BUSY);
+        lastLink().events.opened();
+        lastLink().in(REJECTED);
         discovery.watch(true);
-        before = links.size();
+        callsBefore = links.size();
         discovery.heardFromOthers();
         time.pass(SECOND / 100);
-        assertEquals("once for each loss, or its word would keep the queue long", before, links.size());
+        assertEquals("once for each loss, or its word would keep the queue long", callsBefore, links.size());
     }
 
     @Test
-    public void aWatchConfirmsTheListOnceItHasToldIt() {
-        ordered();
-        last().events.opened();
-        last().in(HEAD);
+    public void watchConfirmsTheListOnceItHasDeliveredIt() {
+        requestWatchAndAwaitCall();
+        lastLink().events.opened();
+        lastLink().in(OK_HEADERS);
         assertFalse("headers tell nothing", confirmation.isConfirmed());
-        last().in(list(3));
+        lastLink().in(wholeListChunk(3));
         assertTrue(confirmation.hasLiveWatch());
         time.pass(2 * SECOND);
-        last().in(chunk("\n"));
+        lastLink().in(chunk("\n"));
         assertEquals("an empty line says that nothing is missing", time.now(), confirmation.lastCompleteMicros());
     }
 
     @Test
-    public void aLineThatCannotBeReadConfirmsNothingUntilTheWholeListIsThere() {
-        FakeLink watch = watched();
-        long complete = confirmation.lastCompleteMicros();
+    public void malformedLineSuspendsConfirmationUntilTheWholeListIsFetched() {
+        FakeLink watch = establishWatch();
+        long completeMicros = confirmation.lastCompleteMicros();
         time.pass(SECOND);
         watch.in(chunk("nonsense\n") + chunk("\n"));
-        assertEquals(complete, confirmation.lastCompleteMicros());
-        long asked = time.now();
+        assertEquals(completeMicros, confirmation.lastCompleteMicros());
+        long requestedMicros = time.now();
         time.pass(SECOND);
-        last().events.opened();
-        last().in("HTTP/1.1 200 OK\r\nContent-Length: 42\r\n\r\n{\"index\":5,\"snapshot\":true,\"endpoints\":[]}");
-        assertEquals("as old as the question", asked, confirmation.lastCompleteMicros());
+        lastLink().events.opened();
+        lastLink().in("HTTP/1.1 200 OK\r\nContent-Length: 42\r\n\r\n{\"index\":5,\"snapshot\":true,\"endpoints\":[]}");
+        assertEquals("as old as the question", requestedMicros, confirmation.lastCompleteMicros());
         watch.in(chunk("\n"));
         assertEquals(time.now(), confirmation.lastCompleteMicros());
     }
 
     @Test
-    public void aWatchThatEndsOrFallsSilentConfirmsNoMore() {
-        watched().events.closed();
+    public void endedOrIdleWatchNoLongerConfirmsTheList() {
+        establishWatch().events.closed();
         assertFalse(confirmation.hasLiveWatch());
-        assertEquals(1, unwatched);
-        watched();
+        assertEquals(1, watchLosses);
+        establishWatch();
         time.pass(2_600_000);
         assertFalse(confirmation.hasLiveWatch());
         time.pass(9_000_000);
-        assertEquals("told once", 2, unwatched);
-        assertEquals(ListKind.FAILED, told.get(told.size() - 1).kind());
+        assertEquals("told once", 2, watchLosses);
+        assertEquals(ListKind.FAILED, events.get(events.size() - 1).kind());
     }
 
     @Test
-    public void whereDiscoveryTakesNoConnectionTheListHeldMayBeUsedOn() {
+    public void failedConnectionExtendsTheUseOfTheList() {
         time.pass(5 * SECOND);
-        ordered();
-        last().events.closed();
+        requestWatchAndAwaitCall();
+        lastLink().events.closed();
         time.pass(5 * SECOND);
         assertTrue(confirmation.current(time.now()));
     }
 
     @Test
-    public void whereACallHasWaitedInVainAndNobodySaysThatHeKnowsNoMoreTheListGetsTooOld() {
-        ordered();
-        last().events.opened();
+    public void rejectedCallAloneDoesNotExtendTheUseOfTheList() {
+        requestWatchAndAwaitCall();
+        lastLink().events.opened();
         time.pass(3 * SECOND);
-        last().in(BUSY);
+        lastLink().in(REJECTED);
         time.pass(4 * SECOND);
         assertFalse(confirmation.current(time.now()));
     }
--- a/balancer/src/test/java/baymoor/inventory/InventoryTest.java
+++ b/balancer/src/test/java/baymoor/inventory/InventoryTest.java
@@ -20,12 +20,12 @@
 
 public class InventoryTest {
 
-    private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+    private static final String OK_HEADERS = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
     private final ManualTime time = new ManualTime();
     private final Counters counters = new Counters();
     private final Inventory inventory = new Inventory(millis -> millis * 1000 - 5_000, counters);
-    private final List<ServerList> told = new ArrayList<>();
+    private final List<ServerList> events = new ArrayList<>();
     private final List<FakeLink> links = new ArrayList<>();
     private final Discovery discovery = new Discovery(
             new InetSocketAddress("127.0.0.1", 1),
@@ -40,37 +40,38 @@
             counters,
             new CallPacing(1, 0, 1),
             ListConfirmation.notNeeded(),
-            told::add);
+            events::add);
 
-    private static String entry(String name, String status, long since) {
+    private static String entry(String name, String status, long sinceMillis) {
         return "{\"name\":\"" + name + "\",\"address\":\"127.0.0.1:7\",\"zone\":\"a\",\"type\":\"t\",\"group\":3,"
-                + "\"status\":\"" + status + "\",\"weight\":1.5,\"since_ms\":" + since + "}";
+                + "\"status\":\"" + status + "\",\"weight\":1.5,\"since_ms\":" + sinceMillis + "}";
     }
 
-    private static String list(int index, boolean whole, String... entries) {
-        return "{\"index\":" + index + ",\"snapshot\":" + whole + ",\"endpoints\":[" + String.join(",", entries) + "]}";
+    private static String list(int index, boolean snapshot, String... entries) {
+        return "{\"index\":" + index + ",\"snapshot\":" + snapshot + ",\"endpoints\":[" + String.join(",", entries)
+                + "]}";
     }
 
     private static String chunk(String text) {
         return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
     }
 
-    private FakeLink watch() {
+    private FakeLink establishWatch() {
         discovery.watch(true);
         FakeLink link = links.get(links.size() - 1);
         link.events.opened();
-        link.in(HEAD);
+        link.in(OK_HEADERS);
         return link;
     }
 
-    private String kinds() {
-        String all = told.stream().map(l -> l.kind().toString()).toList().toString();
-        told.clear();
+    private String takeEventKinds() {
+        String all = events.stream().map(l -> l.kind().toString()).toList().toString();
+        events.clear();
         return all;
     }
 
     @Test
-    public void entriesBecomeServersOfTheModule() {
+    public void endpointsAreParsedIntoServers() {
         Server s = inventory
                 .applyWatchObject(list(4, true, entry("s-a", "in_service", 9)))
                 .servers()
@@ -87,7 +88,7 @@
     }
 
     @Test
-    public void whoIsAbsentFromAWholeListIsGone() {
+    public void hostAbsentFromAWholeListIsGone() {
         long a = inventory
                 .applyWatchObject(list(1, true, entry("s-a", "in_service", 0)))
                 .servers()
@@ -101,7 +102,7 @@
     }
 
     @Test
-    public void whoIsGoneIsForgottenOnceNothingUsesIt() {
+    public void goneHostIsForgottenOnceUnused() {
         long a = inventory
                 .applyWatchObject(list(1, true, entry("s-a", "in_service", 0)))
                 .servers()
@@ -116,21 +117,21 @@
     }
 
     @Test
-    public void anEntryThatCannotBeReadCostsNoOtherOne() {
-        String odd = entry("s-b", "dancing", 0) + "," + entry("", "in_service", 0) + ",7,"
+    public void malformedEntryIsSkipped() {
+        String malformedEntries = entry("s-b", "dancing", 0) + "," + entry("", "in_service", 0) + ",7,"
                 + entry("s-c", "in_service", 0).replace("127.0.0.1:7", "somewhere:7");
         assertEquals(
                 1,
                 inventory
-                        .applyWatchObject(list(1, true, odd, entry("s-a", "in_service", 0)))
+                        .applyWatchObject(list(1, true, malformedEntries, entry("s-a", "in_service", 0)))
                         .servers()
                         .size());
         assertEquals(4, counters.get(Count.INVENTORY_BAD));
     }
 
     @Test
-    public void aWatchTellsChangesInAnyPieces() {
-        FakeLink link = watch();
+    public void watchIsParsedFromFragmentsOfAnySize() {
+        FakeLink link = establishWatch();
         assertTrue(link.takeOut().startsWith("GET /v1/servers?watch=1&from=0 HTTP/1.1\r\n"));
         String text = chunk(list(1, true, entry("s-a", "in_service", 0)) + "\n")
                 + chunk("\n")
@@ -138,31 +139,31 @@
         for (char c : text.toCharArray()) {
             link.in(String.valueOf(c));
         }
-        assertEquals("[WHOLE, CHANGES]", kinds());
+        assertEquals("[WHOLE, CHANGES]", takeEventKinds());
         assertEquals(2, inventory.version());
     }
 
     @Test
-    public void aWatchThatBreaksOrFallsSilentHasFailedOnce() {
-        watch().events.closed();
-        assertEquals("[FAILED]", kinds());
-        FakeLink silent = watch();
+    public void brokenOrIdleWatchIsReportedOnce() {
+        establishWatch().events.closed();
+        assertEquals("[FAILED]", takeEventKinds());
+        FakeLink idleWatch = establishWatch();
         time.pass(2_400_000);
-        silent.in(chunk("\n"));
+        idleWatch.in(chunk("\n"));
         time.pass(2_400_000);
-        assertEquals("[]", kinds());
+        assertEquals("[]", takeEventKinds());
         time.pass(200_000);
-        silent.events.closed();
+        idleWatch.events.closed();
         time.pass(9_000_000);
-        assertEquals("[FAILED]", kinds());
+        assertEquals("[FAILED]", takeEventKinds());
         discovery.watch(true);
         links.get(2).events.opened();
         links.get(2).in("HTTP/1.1 503 busy\r\nContent-Length: 0\r\n\r\n");
-        assertEquals("[FAILED]", kinds());
+        assertEquals("[FAILED]", takeEventKinds());
         discovery.watch(true);
         for (int i = 4; i < 6; i++) {
             links.get(links.size() - 1).events.closed();
-            assertEquals("[FAILED]", kinds());
+            assertEquals("[FAILED]", takeEventKinds());
             discovery.watch(true);
             discovery.watch(true);
             assertEquals("one call at a time is ordered", i + 1, links.size());
@@ -171,7 +172,7 @@
 
     /** What is told must be known 6 s after it could be asked for, whatever became of a call. */
     @Test
-    public void aCallThatIsNotAnsweredIsMadeASecondTimeAndTheFirstAnswerCounts() {
+    public void unansweredCallIsHedgedAndTheFirstAnswerCounts() {
         discovery.watch(true);
         links.get(0).events.opened();
         time.pass(1_990_000);
@@ -180,17 +181,17 @@
         assertEquals(2, links.size());
         assertFalse("the first keeps its place in turn", links.get(0).closed);
         links.get(1).events.opened();
-        links.get(1).in(HEAD + chunk(list(1, true) + "\n"));
+        links.get(1).in(OK_HEADERS + chunk(list(1, true) + "\n"));
         assertTrue(links.get(0).closed);
-        assertEquals("[WHOLE]", kinds());
+        assertEquals("[WHOLE]", takeEventKinds());
         links.get(0).events.closed();
-        assertEquals("[]", kinds());
+        assertEquals("[]", takeEventKinds());
         time.pass(2_400_000);
         assertEquals(2, links.size());
     }
 
     @Test
-    public void whereNoCallIsAnsweredTwoAreOutAndOneGoesOutEveryTwoSeconds() {
+    public void unansweredCallsAreLimitedToTwoAtATimeAndOneEveryTwoSeconds() {
         discovery.watch(true);
         for (int second = 0; second < 60; second++) {
             time.pass(1_000_000);
@@ -200,42 +201,42 @@
         FakeLink last = links.get(links.size() - 1);
         last.events.opened();
         last.in("HTTP/1.1 503 busy\r\nContent-Length: 0\r\n\r\n");
-        assertEquals("the other call is still out", "[]", kinds());
+        assertEquals("the other call is still out", "[]", takeEventKinds());
         links.stream().filter(l -> !l.closed).forEach(l -> l.events.closed());
-        assertEquals("[FAILED]", kinds());
+        assertEquals("[FAILED]", takeEventKinds());
         time.pass(9_000_000);
-        assertEquals("the decisions say when", "[]", kinds());
+        assertEquals("the decisions say when", "[]", takeEventKinds());
     }
 
     @Test
-    public void aWatchThatFellSilentIsKeptUntilAnotherAnswers() {
-        FakeLink silent = watch();
+    public void idleWatchIsKeptUntilAnotherIsEstablished() {
+        FakeLink idleWatch = establishWatch();
         time.pass(2_600_000);
-        assertEquals("[FAILED]", kinds());
-        assertFalse(silent.closed);
-        silent.in(chunk(list(3, false, entry("s-a", "terminating", 0)) + "\n"));
-        assertEquals("[CHANGES]", kinds());
+        assertEquals("[FAILED]", takeEventKinds());
+        assertFalse(idleWatch.closed);
+        idleWatch.in(chunk(list(3, false, entry("s-a", "terminating", 0)) + "\n"));
+        assertEquals("[CHANGES]", takeEventKinds());
         time.pass(2_600_000);
-        assertEquals("silent again, and told so again", "[FAILED]", kinds());
+        assertEquals("silent again, and told so again", "[FAILED]", takeEventKinds());
         time.pass(9_000_000);
-        assertEquals("told once", "[]", kinds());
-        FakeLink next = watch();
-        assertTrue(next.takeOut().contains("from=3"));
-        assertTrue(silent.closed);
-        silent.events.closed();
-        assertEquals("[]", kinds());
+        assertEquals("told once", "[]", takeEventKinds());
+        FakeLink newWatch = establishWatch();
+        assertTrue(newWatch.takeOut().contains("from=3"));
+        assertTrue(idleWatch.closed);
+        idleWatch.events.closed();
+        assertEquals("[]", takeEventKinds());
     }
 
     @Test
-    public void objectsOfAWatchMayComeIndented() {
-        FakeLink link = watch();
+    public void indentedObjectsAreParsed() {
+        FakeLink link = establishWatch();
         String first = new org.json.JSONObject(list(7, true, entry("s-a", "in_service", 0))).toString(2);
         String second = new org.json.JSONObject(list(8, false, entry("s-a}\\\"{", "terminating", 0))).toString(0);
         String third = new org.json.JSONObject(list(9, false, entry("s-b", "in_service", 0))).toString(1);
         for (String piece : (first + "\n\n" + second + "\n" + third + "\n\n").split("(?<=\n)")) {
             link.in(chunk(piece));
         }
-        assertEquals("[WHOLE, CHANGES, CHANGES]", kinds());
+        assertEquals("[WHOLE, CHANGES, CHANGES]", takeEventKinds());
         assertEquals(9, inventory.version());
         assertEquals(0, counters.get(Count.INVENTORY_BAD));
         assertEquals(1, links.size());
@@ -243,88 +244,88 @@
 
     /** Danger: what follows would be taken for the rest of it, and nothing be heard any more. */
     @Test
-    public void anObjectThatWasCutOffEndsWhereTheNextBegins() {
-        String cut = list(8, false, entry("s-a", "terminating", 0));
-        String[] spoilt = {
-            cut.substring(0, 20) + "\n",
-            cut.substring(0, 40) + "\n",
-            cut.substring(0, cut.length() - 2) + "\n",
-            cut.substring(0, cut.length() - 1) + "\n\n",
+    public void truncatedObjectEndsWhereTheNextBegins() {
+        String changes = list(8, false, entry("s-a", "terminating", 0));
+        String[] malformedTexts = {
+            changes.substring(0, 20) + "\n",
+            changes.substring(0, 40) + "\n",
+            changes.substring(0, changes.length() - 2) + "\n",
+            changes.substring(0, changes.length() - 1) + "\n\n",
             "}\n",
             "null\n",
             list(17, false) + "}\n"
         };
-        FakeLink link = watch();
+        FakeLink link = establishWatch();
         int version = 10;
-        for (String text : spoilt) {
-            long bad = counters.get(Count.INVENTORY_BAD);
+        for (String text : malformedTexts) {
+            long badBefore = counters.get(Count.INVENTORY_BAD);
             link.in(chunk(text) + chunk(list(++version, false) + "\n"));
             assertEquals(text, version, inventory.version());
-            assertEquals(text, bad + 1, counters.get(Count.INVENTORY_BAD));
+            assertEquals(text, badBefore + 1, counters.get(Count.INVENTORY_BAD));
         }
         assertEquals("the whole list is asked for", 2, links.size());
     }
 
     @Test
-    public void whereDiscoveryMovesTheOldWatchIsKeptUntilTheNewOneAnswers() {
-        FakeLink old = watch();
-        old.in(chunk(list(7, true, entry("s-a", "in_service", 0)) + "\n"));
+    public void addressChangeKeepsTheOldWatchUntilTheNewOneIsEstablished() {
+        FakeLink oldWatch = establishWatch();
+        oldWatch.in(chunk(list(7, true, entry("s-a", "in_service", 0)) + "\n"));
         discovery.move(new InetSocketAddress("127.0.0.1", 2));
-        FakeLink next = links.get(1);
-        next.events.opened();
-        assertTrue(next.takeOut().startsWith("GET /v1/servers?watch=1&from=7 HTTP/1.1\r\nHost: 127.0.0.1:2\r\n"));
-        assertFalse(old.closed);
-        old.in(chunk(list(8, false, entry("s-a", "terminating", 0)) + "\n"));
-        next.in(HEAD);
-        assertTrue(old.closed);
-        next.in(chunk(list(9, false, entry("s-a", "in_service", 0)) + "\n"));
-        assertEquals("[WHOLE, CHANGES, CHANGES]", kinds());
-        next.events.closed();
-        assertEquals("[FAILED]", kinds());
+        FakeLink newWatch = links.get(1);
+        newWatch.events.opened();
+        assertTrue(newWatch.takeOut().startsWith("GET /v1/servers?watch=1&from=7 HTTP/1.1\r\nHost: 127.0.0.1:2\r\n"));
+        assertFalse(oldWatch.closed);
+        oldWatch.in(chunk(list(8, false, entry("s-a", "terminating", 0)) + "\n"));
+        newWatch.in(OK_HEADERS);
+        assertTrue(oldWatch.closed);
+        newWatch.in(chunk(list(9, false, entry("s-a", "in_service", 0)) + "\n"));
+        assertEquals("[WHOLE, CHANGES, CHANGES]", takeEventKinds());
+        newWatch.events.closed();
+        assertEquals("[FAILED]", takeEventKinds());
     }
 
     @Test
-    public void aMoveIsTriedAgainAndTheOldWatchMayEndMeanwhile() {
-        FakeLink old = watch();
+    public void addressChangeIsRetriedEvenIfTheOldWatchEnds() {
+        FakeLink oldWatch = establishWatch();
         discovery.move(new InetSocketAddress("127.0.0.1", 2));
         links.get(1).events.closed();
-        old.events.closed();
+        oldWatch.events.closed();
         time.pass(300_000);
         assertEquals(3, links.size());
         discovery.watch(true);
         assertEquals("the watch on its way serves", 3, links.size());
         links.get(2).events.opened();
-        links.get(2).in(HEAD + chunk(list(1, true) + "\n"));
-        assertEquals("[WHOLE]", kinds());
+        links.get(2).in(OK_HEADERS + chunk(list(1, true) + "\n"));
+        assertEquals("[WHOLE]", takeEventKinds());
         time.pass(2_400_000);
-        assertEquals("[]", kinds());
+        assertEquals("[]", takeEventKinds());
     }
 
     @Test
-    public void aMoveThatNeverArrivesHasFailedOnce() {
-        watch().events.closed();
-        assertEquals("[FAILED]", kinds());
+    public void unsuccessfulAddressChangeIsReportedOnce() {
+        establishWatch().events.closed();
+        assertEquals("[FAILED]", takeEventKinds());
         discovery.move(new InetSocketAddress("127.0.0.1", 2));
         for (int i = 1; i < links.size() && i < 50; i++) {
             links.get(i).events.closed();
             time.pass(300_000);
         }
         assertEquals(21, links.size());
-        assertEquals("[FAILED]", kinds());
+        assertEquals("[FAILED]", takeEventKinds());
         time.pass(9_000_000);
         assertEquals(21, links.size());
     }
 
     @Test
-    public void aLineThatCannotBeReadIsIgnoredAndTheListAskedForOnce() {
-        FakeLink link = watch();
+    public void malformedLinesAreSkippedAndTheListIsFetchedOnce() {
+        FakeLink link = establishWatch();
         link.in(chunk("nonsense\n") + chunk("{\"index\":\n") + chunk(list(3, false) + "\n"));
-        assertEquals("[CHANGES]", kinds());
+        assertEquals("[CHANGES]", takeEventKinds());
         assertEquals(2, counters.get(Count.INVENTORY_BAD));
         assertEquals("one call makes up for both", 2, links.size());
         links.get(1).events.opened();
         links.get(1).in("HTTP/1.1 200 OK\r\n\r\n" + list(4, true, entry("s-a", "in_service", 0)));
         links.get(1).events.closed();
-        assertEquals(ListKind.WHOLE, told.get(0).kind());
+        assertEquals(ListKind.WHOLE, events.get(0).kind());
     }
 }
--- a/balancer/src/test/java/baymoor/inventory/ListConfirmationTest.java
+++ b/balancer/src/test/java/baymoor/inventory/ListConfirmationTest.java
@@ -14,68 +14,68 @@
 
     private final ListConfirmation confirmation = ListConfirmation.from(START, true);
 
-    private void lastsUntil(long micros) {
+    private void checkCurrentUntil(long micros) {
         assertTrue(confirmation.current(micros - 1));
         assertFalse(confirmation.current(micros));
     }
 
     @Test
-    public void aListOfUnknownAgeMayBeUsedForSixSecondsFromTheStart() {
+    public void listOfUnknownAgeIsCurrentForSixSecondsAfterStart() {
         assertFalse(confirmation.isConfirmed());
-        lastsUntil(START + 6 * SECOND);
+        checkCurrentUntil(START + 6 * SECOND);
     }
 
     @Test
-    public void aWatchConfirmsForAsLongAsItLivesAndSixSecondsFromItsLastSign() {
+    public void listIsCurrentWhileTheWatchIsLiveAndSixSecondsAfterItsLastHeartbeat() {
         confirmation.watchHeartbeat(START + 3 * SECOND);
         assertTrue(confirmation.current(START + 1000 * SECOND));
         confirmation.watchHeartbeat(START + 50 * SECOND);
         confirmation.watchLost();
-        lastsUntil(START + 56 * SECOND);
+        checkCurrentUntil(START + 56 * SECOND);
     }
 
     @Test
-    public void whatIsOlderTakesNothingBack() {
+    public void olderConfirmationHasNoEffect() {
         confirmation.recordComplete(START + 9 * SECOND);
         confirmation.recordComplete(START + 2 * SECOND);
-        lastsUntil(START + 15 * SECOND);
+        checkCurrentUntil(START + 15 * SECOND);
         assertEquals(START + 9 * SECOND, confirmation.lastCompleteMicros());
     }
 
     @Test
-    public void whereDiscoveryTakesNoConnectionTheTimeIsCountedAnew() {
+    public void failedConnectionRestartsTheSixSeconds() {
         confirmation.callFailed(Outcome.CONNECTION_FAILED, START + 5 * SECOND, START + 5 * SECOND + 1);
-        lastsUntil(START + 11 * SECOND);
+        checkCurrentUntil(START + 11 * SECOND);
     }
 
     /** It waits for its turn as long where too many call as where discovery is down, and ends in the same way. */
     @Test
-    public void aCallTurnedDownMayMeanDownWhereNobodyElseKnowsMore() {
+    public void rejectionCountsAsUnreachableOnlyIfNoPeerHasANewerList() {
         confirmation.callFailed(Outcome.REJECTED, START + 2 * SECOND, START + 4 * SECOND);
-        lastsUntil(START + 6 * SECOND);
+        checkCurrentUntil(START + 6 * SECOND);
         confirmation.peerHasNoNewerList(START + 4 * SECOND);
         confirmation.callFailed(Outcome.REJECTED, START + 3 * SECOND, START + 5 * SECOND);
-        lastsUntil(START + 9 * SECOND);
+        checkCurrentUntil(START + 9 * SECOND);
         confirmation.callFailed(Outcome.REJECTED, START + 8 * SECOND, START + 8 * SECOND);
-        lastsUntil(START + 9 * SECOND);
+        checkCurrentUntil(START + 9 * SECOND);
     }
 
     @Test
-    public void whereThereIsNobodyToAskACallTurnedDownMeansDown() {
-        ListConfirmation alone = ListConfirmation.from(START, false);
-        alone.callFailed(Outcome.REJECTED, START + 5 * SECOND, START + 5 * SECOND + 9);
-        assertTrue(alone.current(START + 10 * SECOND));
+    public void rejectionCountsAsUnreachableWithoutPeers() {
+        ListConfirmation withoutPeers = ListConfirmation.from(START, false);
+        withoutPeers.callFailed(Outcome.REJECTED, START + 5 * SECOND, START + 5 * SECOND + 9);
+        assertTrue(withoutPeers.current(START + 10 * SECOND));
     }
 
     @Test
-    public void aDeadConnectionSaysNothingOfDiscovery() {
+    public void timeoutDoesNotCountAsUnreachable() {
         confirmation.peerHasNoNewerList(START + 5 * SECOND);
         confirmation.callFailed(Outcome.TIMED_OUT, START + SECOND, START + 5 * SECOND);
-        lastsUntil(START + 6 * SECOND);
+        checkCurrentUntil(START + 6 * SECOND);
     }
 
     @Test
-    public void listsThatArePushedNeedNoConfirmation() {
+    public void pushedListIsAlwaysCurrent() {
         assertTrue(ListConfirmation.notNeeded().current(Long.MAX_VALUE / 4));
     }
 }
--- a/balancer/src/test/java/baymoor/inventory/ListExchangeTest.java
+++ b/balancer/src/test/java/baymoor/inventory/ListExchangeTest.java
@@ -27,21 +27,21 @@
     private final ManualTime time = new ManualTime();
     private final Random random = new Random(7);
     private final List<Node> nodes = new ArrayList<>();
-    private long sent;
-    private double lost;
-    private double doubled;
-    private long mostDelayMicros = 5_000;
+    private long sentDatagrams;
+    private double lossRate;
+    private double duplicationRate;
+    private long maxDelayMicros = 5_000;
     /** Changes each datagram under way, as a test says. */
-    private java.util.function.UnaryOperator<byte[]> spoil = bytes -> bytes;
+    private java.util.function.UnaryOperator<byte[]> corruption = bytes -> bytes;
 
     private final class Node {
         final int number;
         final Counters counters = new Counters();
         final Inventory inventory = new Inventory(millis -> millis * 1000, counters);
         final ListConfirmation confirmation = ListConfirmation.from(time.now(), true);
-        final List<ServerList> told = new ArrayList<>();
+        final List<ServerList> events = new ArrayList<>();
         final ListExchange exchange;
-        boolean hears = true;
+        boolean receiving = true;
 
         Node(int number, int balancers) {
             this.number = number;
@@ -54,11 +54,11 @@
                     confirmation,
                     counters,
                     (peer, content) -> send(number, peer, content),
-                    told::add);
+                    events::add);
         }
 
         void deliver(int from, byte[] content) {
-            if (hears) {
+            if (receiving) {
                 assertTrue(content.length <= 256);
                 exchange.heard(from, content);
             }
@@ -70,26 +70,26 @@
     }
 
     private void send(int from, int to, byte[] content) {
-        sent++;
-        for (int copies = random.nextDouble() < doubled ? 2 : 1; copies > 0; copies--) {
-            if (random.nextDouble() >= lost) {
-                byte[] arrives = spoil.apply(content);
+        sentDatagrams++;
+        for (int copies = random.nextDouble() < duplicationRate ? 2 : 1; copies > 0; copies--) {
+            if (random.nextDouble() >= lossRate) {
+                byte[] delivered = corruption.apply(content);
                 time.after(
-                        (long) (random.nextDouble() * mostDelayMicros),
-                        () -> nodes.get(to).deliver(from, arrives));
+                        (long) (random.nextDouble() * maxDelayMicros),
+                        () -> nodes.get(to).deliver(from, delivered));
             }
         }
     }
 
-    private void tier(int balancers) {
+    private void startTier(int balancers) {
         for (int i = 0; i < balancers; i++) {
             nodes.add(new Node(i, balancers));
             nodes.get(i).inventory.known(list(1, true, running("a"), running("b")));
         }
     }
 
-    private static JSONObject list(long index, boolean whole, String... entries) {
-        return new JSONObject("{\"index\":" + index + ",\"snapshot\":" + whole + ",\"endpoints\":["
+    private static JSONObject list(long index, boolean snapshot, String... entries) {
+        return new JSONObject("{\"index\":" + index + ",\"snapshot\":" + snapshot + ",\"endpoints\":["
                 + String.join(",", entries) + "]}");
     }
 
@@ -116,34 +116,35 @@
     }
 
     @Test
-    public void inOrdinaryTimesNothingIsSent() {
-        tier(5);
+    public void nothingIsSentWhileAllWatchesAreLive() {
+        startTier(5);
         for (int i = 0; i < 5; i++) {
             watch(i, list(1, true, running("a"), running("b")));
         }
         seekAll();
         time.pass(60 * SECOND);
-        assertEquals(0, sent);
+        assertEquals(0, sentDatagrams);
     }
 
     @Test
-    public void oneThatIsAloneAsksNobody() {
-        tier(1);
+    public void singleBalancerSendsNoQueries() {
+        startTier(1);
         seekAll();
         time.pass(60 * SECOND);
-        assertEquals(0, sent);
+        assertEquals(0, sentDatagrams);
     }
 
     @Test
-    public void oneWatchServesAll() {
+    public void oneWatchInformsTheWholeTier() {
         for (int balancers : new int[] {2, 20, 100, 640}) {
             nodes.clear();
-            tier(balancers);
+            startTier(balancers);
             watch(0, list(2, false, draining("a")));
             seekAll();
             time.pass(2 * SECOND);
-            long knows = nodes.stream().filter(n -> n.state(A) != State.RUNNING).count();
-            assertTrue(balancers + " balancers: " + knows + " know", knows >= 0.99 * balancers);
+            long informed =
+                    nodes.stream().filter(n -> n.state(A) != State.RUNNING).count();
+            assertTrue(balancers + " balancers: " + informed + " know", informed >= 0.99 * balancers);
             time.pass(SECOND);
             for (Node node : nodes) {
                 assertEquals(State.DRAINING, node.state(A));
@@ -154,11 +155,11 @@
     }
 
     @Test
-    public void oneWatchServesAllAlsoWhereDatagramsAreLostLateAndDoubled() {
-        lost = 0.3;
-        doubled = 0.3;
-        mostDelayMicros = 150_000;
-        tier(100);
+    public void oneWatchInformsTheWholeTierDespiteLossDelayAndDuplication() {
+        lossRate = 0.3;
+        duplicationRate = 0.3;
+        maxDelayMicros = 150_000;
+        startTier(100);
         watch(0, list(2, false, draining("a")));
         seekAll();
         time.pass(5 * SECOND);
@@ -167,99 +168,100 @@
 
     /** What was told is as old as it was there, and older with each hand that it went through. */
     @Test
-    public void ageTravelsWithTheWord() {
-        tier(20);
+    public void forwardedListKeepsItsAge() {
+        startTier(20);
         watch(0, list(2, false, draining("a")));
-        long watched = time.now();
+        long watchedMicros = time.now();
         nodes.get(0).confirmation.watchLost();
         seekAll();
         time.pass(20 * SECOND);
         for (Node node : nodes) {
-            assertTrue(node.confirmation.lastCompleteMicros() <= watched);
-            assertFalse(node.confirmation.current(watched + 26 * SECOND));
+            assertTrue(node.confirmation.lastCompleteMicros() <= watchedMicros);
+            assertFalse(node.confirmation.current(watchedMicros + 26 * SECOND));
         }
     }
 
     @Test
-    public void askingEndsWithTheOwnWatchAndBeginsWithItsEnd() {
-        tier(4);
+    public void queriesStopWithTheOwnWatchAndResumeWhenItIsLost() {
+        startTier(4);
         seekAll();
         time.pass(10 * SECOND);
-        long before = sent;
-        assertTrue("backs off: " + before, before <= 4 * 2 * 3 * 30);
+        long sentBefore = sentDatagrams;
+        assertTrue("backs off: " + sentBefore, sentBefore <= 4 * 2 * 3 * 30);
         for (int i = 0; i < 4; i++) {
             watch(i, list(2, true, running("a")));
         }
         time.pass(2 * SECOND);
-        before = sent;
+        sentBefore = sentDatagrams;
         time.pass(60 * SECOND);
-        assertEquals(before, sent);
+        assertEquals(sentBefore, sentDatagrams);
         nodes.get(2).confirmation.watchLost();
         nodes.get(2).exchange.seek();
         nodes.get(2).exchange.seek();
-        assertEquals("three others, once", before + 3, sent);
+        assertEquals("three others, once", sentBefore + 3, sentDatagrams);
     }
 
     @Test
-    public void aPeersWordBringsNobodyBack() {
-        tier(2);
-        Node asker = nodes.get(0);
-        asker.inventory.applyWatchObject(list(2, false, draining("a")).toString());
+    public void replyNeverStartsAHost() {
+        startTier(2);
+        Node querying = nodes.get(0);
+        querying.inventory.applyWatchObject(list(2, false, draining("a")).toString());
         watch(1, list(3, false, running("a"), draining("b"), running("c")));
-        asker.exchange.seek();
+        querying.exchange.seek();
         time.pass(SECOND);
-        assertEquals(State.DRAINING, asker.state(A));
-        assertEquals(State.DRAINING, asker.state(B));
-        assertEquals("nobody is added", null, asker.inventory.entry(Inventory.hash("c")));
-        ServerList told = asker.told.get(0);
-        assertEquals("no word of the own watch", ListKind.LAST_KNOWN, told.kind());
-        assertTrue(told.servers().stream().noneMatch(s -> s.state() == State.RUNNING));
-        assertEquals(1, asker.told.size());
+        assertEquals(State.DRAINING, querying.state(A));
+        assertEquals(State.DRAINING, querying.state(B));
+        assertEquals("nobody is added", null, querying.inventory.entry(Inventory.hash("c")));
+        ServerList event = querying.events.get(0);
+        assertEquals("no word of the own watch", ListKind.LAST_KNOWN, event.kind());
+        assertTrue(event.servers().stream().noneMatch(s -> s.state() == State.RUNNING));
+        assertEquals(1, querying.events.size());
     }
 
     @Test
-    public void whoKnowsLessIsNotHeard() {
-        tier(2);
-        Node asker = nodes.get(0);
-        asker.inventory.applyWatchObject(
+    public void replyWithAnOlderListIsIgnored() {
+        startTier(2);
+        Node querying = nodes.get(0);
+        querying.inventory.applyWatchObject(
                 list(9, true, running("a"), running("b")).toString());
         watch(1, list(8, true, running("a")));
-        asker.exchange.seek();
+        querying.exchange.seek();
         time.pass(SECOND);
-        assertEquals(State.RUNNING, asker.state(B));
-        assertFalse(asker.confirmation.isConfirmed());
+        assertEquals(State.RUNNING, querying.state(B));
+        assertFalse(querying.confirmation.isConfirmed());
     }
 
     @Test
-    public void onlyDiscoverysOwnWordLiftsAStop() {
-        tier(2);
-        Node asker = nodes.get(0);
+    public void stopIsLiftedOnlyByAListFromDiscovery() {
+        startTier(2);
+        Node querying = nodes.get(0);
         watch(1, list(5, false, draining("a")));
-        asker.exchange.seek();
+        querying.exchange.seek();
         time.pass(SECOND);
-        ServerList older = asker.inventory.applyWatchObject(
+        ServerList olderList = querying.inventory.applyWatchObject(
                 list(4, true, running("a"), running("b")).toString());
-        assertEquals("a list from before the stop", State.DRAINING, asker.state(A));
+        assertEquals("a list from before the stop", State.DRAINING, querying.state(A));
         assertEquals(
                 List.of(State.DRAINING, State.RUNNING),
-                older.servers().stream()
+                olderList.servers().stream()
                         .sorted((x, y) -> Long.compare(x.id() == A ? 0 : 1, y.id() == A ? 0 : 1))
                         .map(Server::state)
                         .toList());
-        ServerList lifted = asker.inventory.applyWatchObject(list(5, false).toString());
-        assertEquals("nothing said of it since: it runs", State.RUNNING, asker.state(A));
-        assertEquals(ListKind.WHOLE, lifted.kind());
-        assertEquals(2, lifted.servers().size());
+        ServerList currentList =
+                querying.inventory.applyWatchObject(list(5, false).toString());
+        assertEquals("nothing said of it since: it runs", State.RUNNING, querying.state(A));
+        assertEquals(ListKind.WHOLE, currentList.kind());
+        assertEquals(2, currentList.servers().size());
     }
 
     /** In a large tier each calls seldom while discovery is down; what one finds must do for all. */
     @Test
-    public void thatDiscoveryIsDownTravelsToo() {
-        tier(100);
+    public void unreachabilityOfDiscoveryIsForwarded() {
+        startTier(100);
         seekAll();
         for (int second = 0; second < 30; second++) {
-            Node finds = nodes.get(random.nextInt(100));
-            finds.confirmation.callFailed(CallPacing.Outcome.CONNECTION_FAILED, time.now(), time.now());
+            Node detecting = nodes.get(random.nextInt(100));
+            detecting.confirmation.callFailed(CallPacing.Outcome.CONNECTION_FAILED, time.now(), time.now());
             time.pass(SECOND);
         }
         nodes.forEach(node -> assertTrue(node.confirmation.current(time.now())));
@@ -268,26 +270,26 @@
     }
 
     @Test
-    public void aServiceThatCountsAnewLiftsAStopToo() {
-        tier(2);
-        Node asker = nodes.get(0);
-        asker.inventory.applyWatchObject(
+    public void versionResetOfDiscoveryLiftsAStop() {
+        startTier(2);
+        Node querying = nodes.get(0);
+        querying.inventory.applyWatchObject(
                 list(500, true, running("a"), running("b")).toString());
         watch(1, list(501, true, running("b")));
-        asker.exchange.seek();
+        querying.exchange.seek();
         time.pass(SECOND);
-        assertEquals(State.DRAINING, asker.state(A));
+        assertEquals(State.DRAINING, querying.state(A));
         for (int i = 0; i < 3; i++) {
-            asker.inventory.applyWatchObject(
+            querying.inventory.applyWatchObject(
                     list(3, true, running("a"), running("b")).toString());
         }
-        assertEquals(3, asker.inventory.version());
-        assertEquals(State.RUNNING, asker.state(A));
+        assertEquals(3, querying.inventory.version());
+        assertEquals(State.RUNNING, querying.state(A));
     }
 
     @Test
-    public void anAnswerToNoQuestionIsCountedAndDropped() {
-        tier(3);
+    public void replyWithoutAQueryIsCountedAndDropped() {
+        startTier(3);
         Node node = nodes.get(0);
         node.exchange.heard(1, new ListMessage.Reply(1, 9, 0, 0, 1, List.of()).encode());
         node.exchange.heard(1, new ListMessage.NoNewerList(1, 0).encode());
@@ -297,10 +299,10 @@
     }
 
     @Test
-    public void spoiltDatagramsAreCountedAndNothingIsBelieved() {
-        tier(10);
+    public void corruptedDatagramsAreCountedAndIgnored() {
+        startTier(10);
         watch(0, list(2, true, running("a"), running("b")));
-        spoil = bytes -> {
+        corruption = bytes -> {
             byte[] cut = Arrays.copyOf(bytes, random.nextInt(bytes.length));
             random.nextBytes(cut);
             if (cut.length > 0) {
@@ -318,11 +320,11 @@
     }
 
     @Test
-    public void messagesOfTheDecisionsAreLeftToThem() {
-        tier(2);
-        byte[] figures = new byte[45];
-        figures[0] = 1;
-        assertFalse(nodes.get(0).exchange.heard(1, figures));
+    public void datagramsOfTheDecisionModuleAreNotHandled() {
+        startTier(2);
+        byte[] decisionDatagram = new byte[45];
+        decisionDatagram[0] = 1;
+        assertFalse(nodes.get(0).exchange.heard(1, decisionDatagram));
         assertFalse(nodes.get(0).exchange.heard(1, new byte[0]));
     }
 }
--- a/balancer/src/test/java/baymoor/inventory/ListMessageTest.java
+++ b/balancer/src/test/java/baymoor/inventory/ListMessageTest.java
@@ -18,7 +18,7 @@
     }
 
     @Test
-    public void whatIsWrittenIsReadAgain() {
+    public void encodedMessagesAreDecodedUnchanged() {
         for (ListMessage message : List.of(
                 new ListMessage.Query(-7, 1234),
                 new ListMessage.NoNewerList(Long.MIN_VALUE, ListMessage.NoNewerList.NOT_DOWN),
@@ -30,7 +30,7 @@
     }
 
     @Test
-    public void aListIsSplitIntoDatagramsThatFit() {
+    public void replyIsSplitIntoDatagramsWithinTheSizeLimit() {
         for (int hosts : new int[] {0, 1, 58, 59, 200, 1_856}) {
             List<ListMessage.Reply> parts = ListMessage.toParts(1, 2, 3, tags(hosts));
             assertEquals(
@@ -46,20 +46,21 @@
 
     /** Older programs look at the first byte only, and at nothing shorter than their own message of 45 bytes. */
     @Test
-    public void messagesOfTheDecisionsAreNoneOfThese() {
-        byte[] figures = new byte[45];
-        figures[0] = 1;
-        assertFalse(ListMessage.isListMessage(figures));
+    public void datagramsOfTheDecisionModuleAreNotListMessages() {
+        byte[] decisionDatagram = new byte[45];
+        decisionDatagram[0] = 1;
+        assertFalse(ListMessage.isListMessage(decisionDatagram));
         assertFalse(ListMessage.isListMessage(new byte[0]));
         assertTrue(ListMessage.isListMessage(new ListMessage.NoNewerList(1, 0).encode()));
     }
 
     @Test
-    public void whatNobodySendsIsNotRead() {
-        byte[] answer = new ListMessage.Reply(5, 41, 99, 1, 2, tags(3)).encode();
-        for (int length = 0; length < answer.length; length++) {
-            byte[] cut = java.util.Arrays.copyOf(answer, length);
-            assertEquals("cut to " + length, length >= 23 && (length - 23) % 4 == 0, ListMessage.decode(cut) != null);
+    public void malformedDatagramsAreNotDecoded() {
+        byte[] reply = new ListMessage.Reply(5, 41, 99, 1, 2, tags(3)).encode();
+        for (int length = 0; length < reply.length; length++) {
+            byte[] truncated = java.util.Arrays.copyOf(reply, length);
+            assertEquals(
+                    "cut to " + length, length >= 23 && (length - 23) % 4 == 0, ListMessage.decode(truncated) != null);
         }
         assertNull(ListMessage.decode(new ListMessage.Reply(5, 41, 99, 2, 2, tags(3)).encode()));
         assertNull(ListMessage.decode(new ListMessage.Reply(5, 41, 99, -1, 2, tags(3)).encode()));
@@ -73,7 +74,7 @@
     }
 
     @Test
-    public void anyBytesAreReadOrNotAndWhatIsReadIsWrittenTheSame() {
+    public void randomBytesThatDecodeAreEncodedUnchanged() {
         Random random = new Random(20261202);
         for (int i = 0; i < 200_000; i++) {
             byte[] bytes = new byte[random.nextInt(300)];
