--- a/balancer/src/test/java/baymoor/inventory/CallPacingTest.java
+++ b/balancer/src/test/java/baymoor/inventory/CallPacingTest.java
@@ -32,7 +32,7 @@
         }
     }
 
-    /** Those that begin together come one after another, in the first round and in all later ones. */
+    /** Guards against simultaneous calls after a mass restart, in the first round and in all later ones. */
     @Test
     public void simultaneousCallersAreSpacedEvenly() {
         for (int callers : TIER_SIZES) {
@@ -43,7 +43,7 @@
                 for (int position = 0; position < callers; position++) {
                     long delay = delays.get(position);
                     assertTrue(
-                            callers + " callers, turn " + position + ": " + delay,
+                            callers + " callers, position " + position + ": " + delay,
                             delay >= position * window / callers - 1 && delay <= (position + 1) * window / callers + 1);
                 }
                 tier.forEach(pacing -> pacing.recordOutcome(Outcome.REJECTED));
@@ -82,21 +82,21 @@
             assertEquals(first << doublings, pacing.windowMicros());
         }
         pacing.recordOutcome(Outcome.TIMED_OUT);
-        assertEquals("a dead connection says nothing of discovery", first << 3, pacing.windowMicros());
+        assertEquals("a timeout leaves the window unchanged", first << 3, pacing.windowMicros());
         pacing.recordOutcome(Outcome.ANSWERED);
         assertEquals(first, pacing.windowMicros());
         pacing.recordOutcome(Outcome.REJECTED);
         pacing.discoveryRecovered();
-        assertEquals("once turned down", first << 1, pacing.windowMicros());
+        assertEquals("one rejection", first << 1, pacing.windowMicros());
         pacing.recordOutcome(Outcome.REJECTED);
         pacing.recordOutcome(Outcome.REJECTED);
         pacing.discoveryRecovered();
-        assertEquals("others have the list", first << 2, pacing.windowMicros());
+        assertEquals("backoff is limited after recovery", first << 2, pacing.windowMicros());
         pacing.recordOutcome(Outcome.CONNECTION_FAILED);
-        assertEquals("who takes no connection has no queue", first, pacing.windowMicros());
+        assertEquals("a failed connection resets the window", first, pacing.windowMicros());
     }
 
-    /** Discovery is known to let calls wait 2 and 3 s: what waits its turn there is not dead. */
+    /** Guards against hedging calls that discovery has queued, which takes up to 3 s. */
     @Test
     public void callThatMayBeQueuedIsHedgedLater() {
         assertEquals(2_000_000, new CallPacing(1, 0, 1).hedgeDelayMicros());
--- a/balancer/src/test/java/baymoor/inventory/ContinuousWatchTest.java
+++ b/balancer/src/test/java/baymoor/inventory/ContinuousWatchTest.java
@@ -15,7 +15,7 @@
 import merlinstep.Decisions.State;
 import org.junit.Test;
 
-/** Where lists are pushed: the watch on the agent that is held for good, and lists that come spoilt. */
+/** Tests the continuous watch on an agent that lists are pushed to, and the handling of malformed lists. */
 public class ContinuousWatchTest {
 
     private static final long GRACE_MICROS = 250_000;
@@ -91,7 +91,7 @@
         assertTrue(lastLink().takeOut().isEmpty());
         lastLink().events.opened();
         assertTrue(lastLink().takeOut().contains("watch=1&from=10"));
-        assertEquals("no failure is told of: the list held is the best there is", 1, events.size());
+        assertEquals("no failure is reported", 1, events.size());
     }
 
     @Test
@@ -105,7 +105,7 @@
             while (links.size() == callsBefore) {
                 time.pass(1_000);
             }
-            assertTrue("tried again within half of the grace", time.now() - from <= GRACE_MICROS / 2);
+            assertTrue("retried within half of the grace", time.now() - from <= GRACE_MICROS / 2);
         }
         assertTrue(links.size() + " calls", links.size() < seconds * 9);
         sendLine(acceptLastCall(), list(3, true, entry("s-a", "terminating")));
@@ -131,8 +131,8 @@
         for (int i = 0; i < 20; i++) {
             time.pass(1_000_000);
         }
-        assertFalse("discovery is down: the agent may have nothing to tell", oldWatch.closed);
-        assertTrue("others were tried", links.size() > 4);
+        assertFalse("an idle agent may be cut off from discovery", oldWatch.closed);
+        assertTrue("further calls were made", links.size() > 4);
         sendLine(oldWatch, list(11, false, entry("s-a", "terminating")));
         assertEquals(State.DRAINING, state("s-a"));
         FakeLink newWatch = acceptLastCall();
@@ -169,7 +169,7 @@
     public void olderListIsCountedAndTheWholeListFetched() {
         FakeLink link = attend(entry("s-a", "terminating"));
         sendLine(link, list(9, false, entry("s-a", "in_service")));
-        assertEquals("a drain that was told of is not taken back", State.DRAINING, state("s-a"));
+        assertEquals("an older list does not undo a drain", State.DRAINING, state("s-a"));
         assertEquals(1, counters.get(Count.INVENTORY_BAD));
         assertEquals(2, links.size());
         lastLink().events.opened();
@@ -207,7 +207,7 @@
         sendLine(link, list(11, false, entry("s-a", "terminating"), entry("s-a", "in_service")));
         assertEquals(State.DRAINING, state("s-a"));
         assertEquals(1, events.get(events.size() - 1).servers().size());
-        assertEquals("the whole list is asked for", 2, links.size());
+        assertEquals("the whole list is fetched", 2, links.size());
     }
 
     @Test
@@ -224,7 +224,7 @@
         assertEquals("WHOLE", lastEventKind());
         assertEquals(State.GONE, state("s-b"));
         time.pass(1_000_000);
-        assertEquals("asked once", 2, links.size());
+        assertEquals("fetched once", 2, links.size());
     }
 
     @Test
@@ -235,7 +235,7 @@
             link.in("{\"index\"");
             time.pass(100_000);
         }
-        assertEquals("another watch was tried", 2, links.size());
+        assertEquals("another watch call was made", 2, links.size());
     }
 
     @Test
--- a/balancer/src/test/java/baymoor/inventory/DiscoveryPacingTest.java
+++ b/balancer/src/test/java/baymoor/inventory/DiscoveryPacingTest.java
@@ -14,7 +14,7 @@
 import merlinstep.Decisions.ServerList;
 import org.junit.Test;
 
-/** What calls for the list and the watch tell the turns of calls and the confirmation of the list. */
+/** Tests how the outcomes of discovery calls drive call pacing and the confirmation of the list. */
 public class DiscoveryPacingTest {
 
     private static final String OK_HEADERS = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -60,7 +60,7 @@
         return links.get(links.size() - 1);
     }
 
-    /** Orders a watch, and gives how long it was until the call went out. */
+    /** Requests a watch, waits until the call is made, and returns the delay in microseconds. */
     private long requestWatchAndAwaitCall() {
         int callsBefore = links.size();
         long since = time.now();
@@ -82,7 +82,7 @@
     @Test
     public void watchCallIsDelayedAndARepeatedRequestStartsNoSecondCall() {
         discovery.watch(true);
-        assertEquals("number 50 of 100", 0, links.size());
+        assertEquals("index 50 of 100 waits for its position", 0, links.size());
         discovery.watch(true);
         time.pass(2 * SECOND);
         assertEquals(1, links.size());
@@ -112,7 +112,7 @@
         assertTrue(delays.toString(), mean > 6 * SECOND && mean < 10 * SECOND);
     }
 
-    /** Discovery is known to let calls wait for 3 s, and a second call for the same watch would only make the queue longer. */
+    /** Guards against hedging a call that discovery has queued, for up to 3 s: a second one would only lengthen the queue. */
     @Test
     public void callThatMayBeQueuedIsNotHedgedEarly() {
         requestWatchAndAwaitCall();
@@ -120,7 +120,7 @@
         time.pass(3 * SECOND);
         assertEquals(1, links.size());
         time.pass(SECOND / 2);
-        assertEquals("by now it is dead", 2, links.size());
+        assertEquals("presumed dead by now", 2, links.size());
         assertFalse(links.get(0).closed);
     }
 
@@ -145,7 +145,7 @@
         int callsBefore = links.size();
         discovery.heardFromOthers();
         time.pass(SECOND);
-        assertEquals("they know no more", callsBefore, links.size());
+        assertEquals("the peers have no newer list", callsBefore, links.size());
         confirmation.recordComplete(time.now());
         discovery.heardFromOthers();
         long since = time.now();
@@ -159,7 +159,7 @@
         callsBefore = links.size();
         discovery.heardFromOthers();
         time.pass(SECOND / 100);
-        assertEquals("once for each loss, or its word would keep the queue long", callsBefore, links.size());
+        assertEquals("at most one reschedule per lost watch", callsBefore, links.size());
     }
 
     @Test
@@ -167,12 +167,12 @@
         requestWatchAndAwaitCall();
         lastLink().events.opened();
         lastLink().in(OK_HEADERS);
-        assertFalse("headers tell nothing", confirmation.isConfirmed());
+        assertFalse("headers alone confirm nothing", confirmation.isConfirmed());
         lastLink().in(wholeListChunk(3));
         assertTrue(confirmation.hasLiveWatch());
         time.pass(2 * SECOND);
         lastLink().in(chunk("\n"));
-        assertEquals("an empty line says that nothing is missing", time.now(), confirmation.lastCompleteMicros());
+        assertEquals("a heartbeat confirms the list", time.now(), confirmation.lastCompleteMicros());
     }
 
     @Test
@@ -186,7 +186,7 @@
         time.pass(SECOND);
         lastLink().events.opened();
         lastLink().in("HTTP/1.1 200 OK\r\nContent-Length: 42\r\n\r\n{\"index\":5,\"snapshot\":true,\"endpoints\":[]}");
-        assertEquals("as old as the question", requestedMicros, confirmation.lastCompleteMicros());
+        assertEquals("as of the request", requestedMicros, confirmation.lastCompleteMicros());
         watch.in(chunk("\n"));
         assertEquals(time.now(), confirmation.lastCompleteMicros());
     }
@@ -200,7 +200,7 @@
         time.pass(2_600_000);
         assertFalse(confirmation.hasLiveWatch());
         time.pass(9_000_000);
-        assertEquals("told once", 2, watchLosses);
+        assertEquals("reported once", 2, watchLosses);
         assertEquals(ListKind.FAILED, events.get(events.size() - 1).kind());
     }
 
--- a/balancer/src/test/java/baymoor/inventory/InventoryTest.java
+++ b/balancer/src/test/java/baymoor/inventory/InventoryTest.java
@@ -166,11 +166,11 @@
             assertEquals("[FAILED]", takeEventKinds());
             discovery.watch(true);
             discovery.watch(true);
-            assertEquals("one call at a time is ordered", i + 1, links.size());
+            assertEquals("a repeated request makes no second call", i + 1, links.size());
         }
     }
 
-    /** What is told must be known 6 s after it could be asked for, whatever became of a call. */
+    /** Guards against a lost call that delays a change beyond the 6 s within which it is due. */
     @Test
     public void unansweredCallIsHedgedAndTheFirstAnswerCounts() {
         discovery.watch(true);
@@ -179,7 +179,7 @@
         assertEquals(1, links.size());
         time.pass(20_000);
         assertEquals(2, links.size());
-        assertFalse("the first keeps its place in turn", links.get(0).closed);
+        assertFalse("the first call stays open", links.get(0).closed);
         links.get(1).events.opened();
         links.get(1).in(OK_HEADERS + chunk(list(1, true) + "\n"));
         assertTrue(links.get(0).closed);
@@ -201,11 +201,11 @@
         FakeLink last = links.get(links.size() - 1);
         last.events.opened();
         last.in("HTTP/1.1 503 busy\r\nContent-Length: 0\r\n\r\n");
-        assertEquals("the other call is still out", "[]", takeEventKinds());
+        assertEquals("the other call is still pending", "[]", takeEventKinds());
         links.stream().filter(l -> !l.closed).forEach(l -> l.events.closed());
         assertEquals("[FAILED]", takeEventKinds());
         time.pass(9_000_000);
-        assertEquals("the decisions say when", "[]", takeEventKinds());
+        assertEquals("no retry without a request by the decision module", "[]", takeEventKinds());
     }
 
     @Test
@@ -217,9 +217,9 @@
         idleWatch.in(chunk(list(3, false, entry("s-a", "terminating", 0)) + "\n"));
         assertEquals("[CHANGES]", takeEventKinds());
         time.pass(2_600_000);
-        assertEquals("silent again, and told so again", "[FAILED]", takeEventKinds());
+        assertEquals("idle again, and reported again", "[FAILED]", takeEventKinds());
         time.pass(9_000_000);
-        assertEquals("told once", "[]", takeEventKinds());
+        assertEquals("reported once", "[]", takeEventKinds());
         FakeLink newWatch = establishWatch();
         assertTrue(newWatch.takeOut().contains("from=3"));
         assertTrue(idleWatch.closed);
@@ -242,7 +242,7 @@
         assertEquals(1, links.size());
     }
 
-    /** Danger: what follows would be taken for the rest of it, and nothing be heard any more. */
+    /** Guards against taking all further input for the rest of a truncated object. */
     @Test
     public void truncatedObjectEndsWhereTheNextBegins() {
         String changes = list(8, false, entry("s-a", "terminating", 0));
@@ -263,7 +263,7 @@
             assertEquals(text, version, inventory.version());
             assertEquals(text, badBefore + 1, counters.get(Count.INVENTORY_BAD));
         }
-        assertEquals("the whole list is asked for", 2, links.size());
+        assertEquals("the whole list is fetched", 2, links.size());
     }
 
     @Test
@@ -293,7 +293,7 @@
         time.pass(300_000);
         assertEquals(3, links.size());
         discovery.watch(true);
-        assertEquals("the watch on its way serves", 3, links.size());
+        assertEquals("the pending call is used", 3, links.size());
         links.get(2).events.opened();
         links.get(2).in(OK_HEADERS + chunk(list(1, true) + "\n"));
         assertEquals("[WHOLE]", takeEventKinds());
@@ -322,7 +322,7 @@
         link.in(chunk("nonsense\n") + chunk("{\"index\":\n") + chunk(list(3, false) + "\n"));
         assertEquals("[CHANGES]", takeEventKinds());
         assertEquals(2, counters.get(Count.INVENTORY_BAD));
-        assertEquals("one call makes up for both", 2, links.size());
+        assertEquals("one call for both lines", 2, links.size());
         links.get(1).events.opened();
         links.get(1).in("HTTP/1.1 200 OK\r\n\r\n" + list(4, true, entry("s-a", "in_service", 0)));
         links.get(1).events.closed();
--- a/balancer/src/test/java/baymoor/inventory/ListConfirmationTest.java
+++ b/balancer/src/test/java/baymoor/inventory/ListConfirmationTest.java
@@ -48,7 +48,7 @@
         checkCurrentUntil(START + 11 * SECOND);
     }
 
-    /** It waits for its turn as long where too many call as where discovery is down, and ends in the same way. */
+    /** A rejection alone can't distinguish an overloaded discovery from one that is down. */
     @Test
     public void rejectionCountsAsUnreachableOnlyIfNoPeerHasANewerList() {
         confirmation.callFailed(Outcome.REJECTED, START + 2 * SECOND, START + 4 * SECOND);
--- a/balancer/src/test/java/baymoor/inventory/ListExchangeTest.java
+++ b/balancer/src/test/java/baymoor/inventory/ListExchangeTest.java
@@ -31,7 +31,7 @@
     private double lossRate;
     private double duplicationRate;
     private long maxDelayMicros = 5_000;
-    /** Changes each datagram under way, as a test says. */
+    /** Applied to each datagram on delivery. */
     private java.util.function.UnaryOperator<byte[]> corruption = bytes -> bytes;
 
     private final class Node {
@@ -105,7 +105,7 @@
         return entry(name, "terminating");
     }
 
-    /** Tells a node by its own watch, which lives from now on. */
+    /** Delivers a list to a node through its own watch, which is live from then on. */
     private void watch(int node, JSONObject list) {
         nodes.get(node).inventory.applyWatchObject(list.toString());
         nodes.get(node).confirmation.watchHeartbeat(time.now());
@@ -144,7 +144,7 @@
             time.pass(2 * SECOND);
             long informed =
                     nodes.stream().filter(n -> n.state(A) != State.RUNNING).count();
-            assertTrue(balancers + " balancers: " + informed + " know", informed >= 0.99 * balancers);
+            assertTrue(balancers + " balancers: " + informed + " informed", informed >= 0.99 * balancers);
             time.pass(SECOND);
             for (Node node : nodes) {
                 assertEquals(State.DRAINING, node.state(A));
@@ -166,7 +166,7 @@
         nodes.forEach(node -> assertEquals(State.DRAINING, node.state(A)));
     }
 
-    /** What was told is as old as it was there, and older with each hand that it went through. */
+    /** Guards against a list that looks fresher each time it is forwarded. */
     @Test
     public void forwardedListKeepsItsAge() {
         startTier(20);
@@ -187,7 +187,7 @@
         seekAll();
         time.pass(10 * SECOND);
         long sentBefore = sentDatagrams;
-        assertTrue("backs off: " + sentBefore, sentBefore <= 4 * 2 * 3 * 30);
+        assertTrue("queries back off: " + sentBefore, sentBefore <= 4 * 2 * 3 * 30);
         for (int i = 0; i < 4; i++) {
             watch(i, list(2, true, running("a")));
         }
@@ -198,7 +198,7 @@
         nodes.get(2).confirmation.watchLost();
         nodes.get(2).exchange.seek();
         nodes.get(2).exchange.seek();
-        assertEquals("three others, once", sentBefore + 3, sentDatagrams);
+        assertEquals("one round of three queries", sentBefore + 3, sentDatagrams);
     }
 
     @Test
@@ -211,9 +211,9 @@
         time.pass(SECOND);
         assertEquals(State.DRAINING, querying.state(A));
         assertEquals(State.DRAINING, querying.state(B));
-        assertEquals("nobody is added", null, querying.inventory.entry(Inventory.hash("c")));
+        assertEquals("no host is added", null, querying.inventory.entry(Inventory.hash("c")));
         ServerList event = querying.events.get(0);
-        assertEquals("no word of the own watch", ListKind.LAST_KNOWN, event.kind());
+        assertEquals("not from the own watch", ListKind.LAST_KNOWN, event.kind());
         assertTrue(event.servers().stream().noneMatch(s -> s.state() == State.RUNNING));
         assertEquals(1, querying.events.size());
     }
@@ -240,7 +240,7 @@
         time.pass(SECOND);
         ServerList olderList = querying.inventory.applyWatchObject(
                 list(4, true, running("a"), running("b")).toString());
-        assertEquals("a list from before the stop", State.DRAINING, querying.state(A));
+        assertEquals("an older list keeps the stop", State.DRAINING, querying.state(A));
         assertEquals(
                 List.of(State.DRAINING, State.RUNNING),
                 olderList.servers().stream()
@@ -249,12 +249,12 @@
                         .toList());
         ServerList currentList =
                 querying.inventory.applyWatchObject(list(5, false).toString());
-        assertEquals("nothing said of it since: it runs", State.RUNNING, querying.state(A));
+        assertEquals("the stop is lifted", State.RUNNING, querying.state(A));
         assertEquals(ListKind.WHOLE, currentList.kind());
         assertEquals(2, currentList.servers().size());
     }
 
-    /** In a large tier each calls seldom while discovery is down; what one finds must do for all. */
+    /** Guards against lists expiring while discovery is down: in a large tier each balancer alone calls it too rarely. */
     @Test
     public void unreachabilityOfDiscoveryIsForwarded() {
         startTier(100);
--- a/balancer/src/test/java/baymoor/inventory/ListMessageTest.java
+++ b/balancer/src/test/java/baymoor/inventory/ListMessageTest.java
@@ -41,10 +41,10 @@
                 assertEquals(part, ListMessage.decode(part.encode()));
             }
         }
-        assertEquals("too long a list is no answer", List.of(), ListMessage.toParts(1, 2, 3, tags(1_857)));
+        assertEquals("a list that is too long gets no reply", List.of(), ListMessage.toParts(1, 2, 3, tags(1_857)));
     }
 
-    /** Older programs look at the first byte only, and at nothing shorter than their own message of 45 bytes. */
+    /** Guards compatibility: older versions check only the first byte, and ignore less than their own message of 45 bytes. */
     @Test
     public void datagramsOfTheDecisionModuleAreNotListMessages() {
         byte[] decisionDatagram = new byte[45];
