--- a/balancer/src/main/java/baymoor/inventory/Inventory.java
+++ b/balancer/src/main/java/baymoor/inventory/Inventory.java
@@ -121,15 +121,22 @@
     /** Returns all hosts that are not gone, with the peers' stops applied. */
     private List<Server> listedServers() {
         return servers.values().stream()
-                .filter(s -> s.state() != State.GONE)
+                .filter(server -> server.state() != State.GONE)
                 .map(this::withPeerStop)
                 .toList();
     }
 
-    private Server withPeerStop(Server s) {
-        return s.state() != State.RUNNING || !stoppedByPeers.contains(s.id())
-                ? s
-                : new Server(s.id(), s.size(), s.kind(), State.DRAINING, s.zone(), s.startedMicros(), s.cell());
+    private Server withPeerStop(Server server) {
+        return server.state() != State.RUNNING || !stoppedByPeers.contains(server.id())
+                ? server
+                : new Server(
+                        server.id(),
+                        server.size(),
+                        server.kind(),
+                        State.DRAINING,
+                        server.zone(),
+                        server.startedMicros(),
+                        server.cell());
     }
 
     /**
@@ -139,7 +146,7 @@
      * @param inUse whether a host's id is still referenced, for instance by queued attempts
      */
     public void forget(LongPredicate inUse) {
-        entries.values().removeIf(e -> e.state() == State.GONE && !inUse.test(e.id()));
+        entries.values().removeIf(entry -> entry.state() == State.GONE && !inUse.test(entry.id()));
         servers.keySet().retainAll(entries.keySet());
         stoppedByPeers.retainAll(entries.keySet());
     }
@@ -206,8 +213,8 @@
     private ServerList apply(JSONObject object, ListKind announcedKind) {
         long index = object.getLong("index");
         JSONArray endpoints = object.getJSONArray("endpoints");
-        Map<Long, Server> servers = new LinkedHashMap<>();
-        Map<Long, Entry> changed = new HashMap<>();
+        Map<Long, Server> receivedServers = new LinkedHashMap<>();
+        Map<Long, Entry> receivedEntries = new HashMap<>();
         boolean malformed = false;
         for (int i = 0; i < endpoints.length(); i++) {
             try {
@@ -215,15 +222,15 @@
                 Server server = parseServer(endpoint);
                 Entry entry = new Entry(
                         server.id(), parseAddress(endpoint.getString("address")), server.kind(), server.state());
-                Server duplicate = servers.get(server.id());
+                Server duplicate = receivedServers.get(server.id());
                 if (duplicate != null) {
                     counters.add(Count.INVENTORY_BAD);
                     malformed = true;
                 }
                 // Of two entries for a host the one closer to removal applies: a draining host gets no new attempts.
                 if (duplicate == null || server.state().compareTo(duplicate.state()) > 0) {
-                    servers.put(server.id(), server);
-                    changed.put(server.id(), entry);
+                    receivedServers.put(server.id(), server);
+                    receivedEntries.put(server.id(), entry);
                 }
             } catch (JSONException e) {
                 counters.add(Count.INVENTORY_BAD);
@@ -239,12 +246,12 @@
         version = index;
         if (kind != ListKind.CHANGES) {
             // A host absent from a whole list is gone; its entry stays, since attempts may still be queued for it.
-            entries.replaceAll((id, e) -> new Entry(id, e.address(), e.kind(), State.GONE));
+            entries.replaceAll((id, entry) -> new Entry(id, entry.address(), entry.kind(), State.GONE));
             this.servers.clear();
         }
-        entries.putAll(changed);
-        this.servers.putAll(servers);
-        return toEvent(kind, servers);
+        entries.putAll(receivedEntries);
+        this.servers.putAll(receivedServers);
+        return toEvent(kind, receivedServers);
     }
 
     /** Returns the event for an applied list: the received servers, or all of them if the list lifts the peers' stops. */
