--- a/balancer/src/main/java/baymoor/inventory/CallPacing.java
+++ b/balancer/src/main/java/baymoor/inventory/CallPacing.java
@@ -3,8 +3,8 @@
 import java.util.Random;
 
 /**
- * Rate limit for watch calls: computes the delay before the next one, so that the balancers of the tier together do not
- * overload discovery when an outage or a mass restart makes all of them call at once.
+ * Computes the delay before the next watch call, so that the balancers of the tier together do not overload discovery when an
+ * outage or a mass restart makes all of them call at once.
  *
  * <p>Calls are spread over a window that is proportional to the size of the tier. A caller's position in the window follows
  * from its index, with jitter, so that callers which begin together are evenly spaced; it changes each time, so that no caller
--- a/balancer/src/main/java/baymoor/inventory/Discovery.java
+++ b/balancer/src/main/java/baymoor/inventory/Discovery.java
@@ -286,7 +286,7 @@
         if (call == listCall && watchesContinuously()) {
             listRetryTimer = time.after(nextReconnectDelay(call.startedMicros), this::ask);
         } else if (watchCallPending()) {
-            scheduleHedgedCall(); // another watch call is pending
+            scheduleHedgedCall(); // the pending call replaces the failed one
         } else if (watchesContinuously()) {
             scheduleWatchCall(nextReconnectDelay(call.startedMicros));
         } else if (addressChangeAttempts > 0 && addressChangeAttempts < MAX_ADDRESS_CHANGE_ATTEMPTS) {
