--- a/balancer/src/main/java/baymoor/inventory/ListExchange.java
+++ b/balancer/src/main/java/baymoor/inventory/ListExchange.java
@@ -26,6 +26,7 @@
     /** Sends a datagram to a peer, given by its index in the tier. */
     @FunctionalInterface
     public interface Sender {
+        /** Sends one datagram, without any guarantee of delivery. */
         void send(int peer, byte[] datagram);
     }
 
--- a/balancer/src/main/java/baymoor/peers/Peers.java
+++ b/balancer/src/main/java/baymoor/peers/Peers.java
@@ -19,6 +19,7 @@
     /** Receives the datagrams of peers, with the sender's index. */
     @FunctionalInterface
     public interface MessageHandler {
+        /** Handles one datagram. */
         void onMessage(int peer, byte[] datagram);
     }
 
