--- a/balancer/src/main/java/baymoor/inventory/Discovery.java
+++ b/balancer/src/main/java/baymoor/inventory/Discovery.java
@@ -21,72 +21,80 @@
 import org.json.JSONException;
 
 /**
- * Calls discovery: the list once, or a watch. Each call that fails, and a watch that breaks or falls silent, is told as FAILED; when
- * to ask again is the decisions' to say. An answered watch is given up only once another one has answered: when it fell silent,
- * and when discovery moves, where nothing has failed then. A watch that is not answered soon is asked for a second time beside it.
+ * Client of the discovery service: fetches the whole list once, or watches it for changes. Lists, failed calls and lost
+ * watches are reported to the listener as {@link ServerList} events; the decision module says when to call again. An
+ * established watch is closed only once its successor has been established, so that no change is missed when it becomes idle
+ * or discovery's address changes. A watch call that stays unanswered is hedged by a second one.
  *
- * <p>Where lists are pushed, what is called is an agent on this machine, which costs nothing and whose every word counts
- * as told: {@link #attend} watches it for good, and no failure is told of, as the list held stays the best there is.
+ * <p>Where lists are pushed, the peer is an agent on this machine: {@link #attend} keeps a watch on it permanently and reports
+ * no failures, since the list held remains the best one available.
+ *
+ * <p>All methods are called on the decision thread.
  */
 public final class Discovery {
 
-    /** Longer than a discovery lets a call wait (2 and 3 s are known of), so that its own word comes first. */
-    private static final long ANSWER_MICROS = 4_000_000;
-    /**
-     * A call that is taken for dead ({@link CallPacing#deadAfterMicros}) gets a second one beside it, and gives up its place in
-     * turn only if that is quicker.
-     */
-    private static final int MOST_CALLS = 2;
-    /** Guards against a cut link, on which a watch just falls silent: an empty line is due every 2 s. */
-    private static final long SILENCE_MICROS = 2_500_000;
+    /** Longer than discovery queues a call (up to 3 s), so that its own error response arrives first. */
+    private static final long ANSWER_TIMEOUT_MICROS = 4_000_000;
+    /** A watch call and its hedge, which is sent after {@link CallPacing#hedgeDelayMicros}; the first to be answered wins. */
+    private static final int MAX_CONCURRENT_CALLS = 2;
+    /** Detects a broken connection on which a watch receives nothing: discovery sends a heartbeat line every 2 s. */
+    private static final long WATCH_IDLE_TIMEOUT_MICROS = 2_500_000;
 
-    private static final int LONGEST_BODY = 1 << 20;
-    private static final int OK = 200;
+    private static final int MAX_BODY_BYTES = 1 << 20;
+    private static final int HTTP_OK = 200;
     /**
-     * What discovery has to tell counts as told 4 s after the word to move, and the module would wait longer than this
-     * after a failure.
+     * Shorter than the decision module's delay after a failure: changes are due within 4 s of the order to use the new address.
      */
-    private static final long MOVE_AGAIN_MICROS = 300_000;
+    private static final long ADDRESS_CHANGE_RETRY_MICROS = 300_000;
 
-    private static final int MOST_MOVES = 20;
-    /** A watch for good that ends sooner is no sign that the next one holds: the pause before it doubles from this on. */
-    private static final long STEADY_MICROS = 1_000_000;
+    private static final int MAX_ADDRESS_CHANGE_ATTEMPTS = 20;
+    /** A continuous watch that lasted this long resets the reconnect delay; a shorter one doubles it. */
+    private static final long STABLE_WATCH_MICROS = 1_000_000;
 
-    private static final long FIRST_PAUSE_MICROS = 10_000;
+    private static final long MIN_RECONNECT_DELAY_MICROS = 10_000;
 
     private InetSocketAddress address;
     private final Dialer dialer;
     private final Time time;
     private final Inventory inventory;
     private final Counters counters;
-    private final Consumer<ServerList> events;
+    private final Consumer<ServerList> listener;
     private final CallPacing pacing;
     private final ListConfirmation confirmation;
-    private Runnable unwatched = () -> {};
-    /** Whether others have told of discovery's return since the watch was lost. */
-    private boolean resumed;
+    private Runnable watchLostTask = () -> {};
+    /** Whether a peer has shown, since the watch was lost, that discovery is reachable again. */
+    private boolean recoveryReported;
 
-    private long lostMicros;
-    private long resumedMicros = Long.MIN_VALUE;
-    /** The watch that has answered, if any, and calls for another, the oldest first. */
+    private long watchLostMicros;
+    private long recoveredMicros = Long.MIN_VALUE;
+    /** The established watch, or null. */
     private Call watch;
 
-    private final List<Call> calls = new ArrayList<>();
-    private long lastCallMicros;
-    /** Whether a watch was ordered, however it stands with it. */
-    private boolean ordered;
+    /** Calls for a new watch that aren't answered yet, the oldest first. */
+    private final List<Call> watchCalls = new ArrayList<>();
 
-    private Call asked;
-    private Time.Timer nextTry;
-    private Time.Timer secondCall;
-    /** Tries since discovery moved, 0 where it has not. */
-    private int moves;
-    /** The longest pause of a watch for good, 0 where watches are ordered; and the present one. */
-    private long longestPauseMicros;
+    private long lastWatchCallMicros;
+    /** Whether the decision module wants a watch, established or not. */
+    private boolean watchRequested;
 
-    private long pauseMicros;
-    private Time.Timer askAgain;
+    private Call listCall;
+    private Time.Timer nextCallTimer;
+    private Time.Timer hedgeTimer;
+    /** Watch calls made for the current address change, or 0 if none is in progress. */
+    private int addressChangeAttempts;
+    /** Upper bound of the reconnect delay of a continuous watch, or 0 where watches are started on request. */
+    private long maxReconnectDelayMicros;
 
+    private long reconnectDelayMicros;
+    private Time.Timer listRetryTimer;
+
+    /**
+     * Creates a client that makes no call yet.
+     *
+     * @param address      discovery's address, or the agent's where lists are pushed
+     * @param confirmation is kept informed of the watch's state and of discovery's reachability
+     * @param listener     receives each list, and each failure that the decision module has to react to
+     */
     public Discovery(
             InetSocketAddress address,
             Dialer dialer,
@@ -95,7 +103,7 @@
             Counters counters,
             CallPacing pacing,
             ListConfirmation confirmation,
-            Consumer<ServerList> events) {
+            Consumer<ServerList> listener) {
         this.pacing = pacing;
         this.confirmation = confirmation;
         this.address = address;
@@ -103,276 +111,284 @@
         this.time = time;
         this.inventory = inventory;
         this.counters = counters;
-        this.events = events;
+        this.listener = listener;
     }
 
-    /** Has a task run each time the watch has ended or fallen silent. */
+    /** Sets the task that runs each time the watch has ended or become idle. */
     public void whenUnwatched(Runnable task) {
-        unwatched = task;
+        watchLostTask = task;
     }
 
-    /** Begins a watch from the version held, once it is this balancer's turn, in the place of the one there is, or ends that. */
-    public void watch(boolean on) {
-        ordered = on;
-        if (!on) {
-            stopCalling();
+    /**
+     * Starts or stops watching. A new watch resumes from the version held after the delay given by {@link CallPacing}, and
+     * replaces the present one once it is established.
+     */
+    public void watch(boolean enabled) {
+        watchRequested = enabled;
+        if (!enabled) {
+            cancelWatchCalls();
             if (watch != null) {
-                watch.abandon();
+                watch.cancel();
                 watch = null;
-                lost();
+                handleWatchLost();
             }
-        } else if (!calling()) {
-            callInTurn();
+        } else if (!watchCallPending()) {
+            schedulePacedCall();
         }
     }
 
-    private void callInTurn() {
-        long pause = pacing.pauseMicros();
-        if (pause > 0) {
-            tryAfter(pause);
+    private void schedulePacedCall() {
+        long delayMicros = pacing.nextDelayMicros();
+        if (delayMicros > 0) {
+            scheduleWatchCall(delayMicros);
         } else {
-            call();
+            startWatchCall();
         }
     }
 
     /**
-     * Watches from now on for good: a watch that ended is opened anew at once, one that ended soon after short pauses.
+     * Starts a continuous watch, which is reopened at once when it ends, or after a growing delay if it was short-lived.
      *
-     * @param graceMicros how soon what the agent holds has to be known here, at the least after it was unreachable
+     * @param graceMicros time within which the agent's list has to be known here after the agent was unreachable; bounds the
+     *                    reconnect delay
      */
     public void attend(long graceMicros) {
-        longestPauseMicros = Math.max(FIRST_PAUSE_MICROS, graceMicros / 2);
-        pauseMicros = 0;
-        call();
+        maxReconnectDelayMicros = Math.max(MIN_RECONNECT_DELAY_MICROS, graceMicros / 2);
+        reconnectDelayMicros = 0;
+        startWatchCall();
     }
 
-    private boolean attending() {
-        return longestPauseMicros > 0;
+    private boolean watchesContinuously() {
+        return maxReconnectDelayMicros > 0;
     }
 
-    /** The time to wait before a call is tried again, after one that began at {@code since}. */
-    private long pause(long since) {
-        long next = Math.max(FIRST_PAUSE_MICROS, Math.min(2 * pauseMicros, longestPauseMicros));
-        pauseMicros = time.now() - since >= STEADY_MICROS ? 0 : next;
-        return pauseMicros;
+    /** Returns the delay in microseconds before the next attempt, after a call that was started at the given time. */
+    private long nextReconnectDelay(long startedMicros) {
+        long nextDelayMicros =
+                Math.max(MIN_RECONNECT_DELAY_MICROS, Math.min(2 * reconnectDelayMicros, maxReconnectDelayMicros));
+        reconnectDelayMicros = time.now() - startedMicros >= STABLE_WATCH_MICROS ? 0 : nextDelayMicros;
+        return reconnectDelayMicros;
     }
 
-    /** Discovery is found at another address from now on. */
-    public void move(InetSocketAddress to) {
-        if (to.equals(address)) {
+    /** Switches to another address of discovery; an established watch is kept until the new one is established. */
+    public void move(InetSocketAddress newAddress) {
+        if (newAddress.equals(address)) {
             return;
         }
-        address = to;
-        stopCalling();
-        if (asked != null && !asked.over) {
-            asked.abandon();
+        address = newAddress;
+        cancelWatchCalls();
+        if (listCall != null && !listCall.closed) {
+            listCall.cancel();
             ask();
         }
-        if (ordered || attending()) {
-            moves = 1;
-            call();
+        if (watchRequested || watchesContinuously()) {
+            addressChangeAttempts = 1;
+            startWatchCall();
         }
     }
 
-    /** Whether another watch is on its way, or will be. */
-    private boolean calling() {
-        return nextTry != null || !calls.isEmpty();
+    /** Returns whether a call for a new watch is in flight or scheduled. */
+    private boolean watchCallPending() {
+        return nextCallTimer != null || !watchCalls.isEmpty();
     }
 
-    private void stopCalling() {
-        List.copyOf(calls).forEach(Call::abandon);
-        calls.clear();
-        moves = 0;
-        nextTry = cancelled(nextTry);
-        secondCall = cancelled(secondCall);
+    private void cancelWatchCalls() {
+        List.copyOf(watchCalls).forEach(Call::cancel);
+        watchCalls.clear();
+        addressChangeAttempts = 0;
+        nextCallTimer = cancel(nextCallTimer);
+        hedgeTimer = cancel(hedgeTimer);
     }
 
-    private static Time.Timer cancelled(Time.Timer timer) {
+    private static Time.Timer cancel(Time.Timer timer) {
         if (timer != null) {
             timer.cancel();
         }
         return null;
     }
 
-    private void call() {
-        nextTry = cancelled(nextTry);
-        secondCall = cancelled(secondCall);
-        lastCallMicros = time.now();
-        calls.add(new Call("/v1/servers?watch=1&from=" + inventory.version(), true));
-        callAgainLater();
+    private void startWatchCall() {
+        nextCallTimer = cancel(nextCallTimer);
+        hedgeTimer = cancel(hedgeTimer);
+        lastWatchCallMicros = time.now();
+        watchCalls.add(new Call("/v1/servers?watch=1&from=" + inventory.version(), true));
+        scheduleHedgedCall();
     }
 
-    /** A call that has no connection yet waits in no queue, and is taken for dead sooner than one that has. */
-    private void callAgainLater() {
-        if (secondCall == null && !calls.isEmpty() && calls.size() < MOST_CALLS) {
-            long dead = lastCallMicros + CallPacing.FIRST_SILENCE_MICROS;
-            secondCall = time.after(dead - time.now(), this::callAgainIfDead);
+    /** Schedules the hedge at the earliest time: a call without a connection isn't in discovery's queue, so it is hedged first. */
+    private void scheduleHedgedCall() {
+        if (hedgeTimer == null && !watchCalls.isEmpty() && watchCalls.size() < MAX_CONCURRENT_CALLS) {
+            long hedgeAtMicros = lastWatchCallMicros + CallPacing.MIN_HEDGE_DELAY_MICROS;
+            hedgeTimer = time.after(hedgeAtMicros - time.now(), this::startHedgedCallIfUnanswered);
         }
     }
 
-    private void callAgainIfDead() {
-        long dead = lastCallMicros + pacing.deadAfterMicros();
-        boolean waits = calls.get(calls.size() - 1).opened;
-        if (waits && time.now() < dead) {
-            secondCall = time.after(dead - time.now(), this::call);
+    private void startHedgedCallIfUnanswered() {
+        long hedgeAtMicros = lastWatchCallMicros + pacing.hedgeDelayMicros();
+        boolean connected = watchCalls.get(watchCalls.size() - 1).connected;
+        if (connected && time.now() < hedgeAtMicros) {
+            hedgeTimer = time.after(hedgeAtMicros - time.now(), this::startWatchCall);
         } else {
-            call();
+            startWatchCall();
         }
     }
 
-    /** A call for a watch is answered: only now is the old one given up, so that nothing told meanwhile is missed. */
-    private void arrived(Call call) {
-        calls.remove(call);
-        stopCalling();
+    /** Replaces the old watch only now that its successor is answered, so that no change in between is missed. */
+    private void handleWatchEstablished(Call call) {
+        watchCalls.remove(call);
+        cancelWatchCalls();
         if (watch != null) {
-            watch.abandon();
+            watch.cancel();
         }
         watch = call;
-        pacing.ended(CallPacing.End.ANSWERED);
+        pacing.recordOutcome(CallPacing.Outcome.ANSWERED);
     }
 
     /**
-     * Another balancer's word has come. Where it had the list later than the watch here was lost and discovery found to be
-     * down, discovery is up again, and calls that had been put off come sooner.
+     * Handles a confirmation of the list by a peer. If the peer had the list from discovery after the watch was lost here and
+     * after discovery was last unreachable, discovery is up again, and a scheduled call is rescheduled sooner.
      */
     public void heardFromOthers() {
-        long known = confirmation.completeMicros();
-        if (resumed || known <= lostMicros || known <= confirmation.unreachableMicros()) {
+        long confirmedMicros = confirmation.lastCompleteMicros();
+        if (recoveryReported
+                || confirmedMicros <= watchLostMicros
+                || confirmedMicros <= confirmation.lastUnreachableMicros()) {
             return;
         }
-        resumed = true;
-        resumedMicros = time.now();
-        pacing.resumed();
-        if (nextTry != null && moves == 0) {
-            nextTry = cancelled(nextTry);
-            callInTurn();
+        recoveryReported = true;
+        recoveredMicros = time.now();
+        pacing.discoveryRecovered();
+        if (nextCallTimer != null && addressChangeAttempts == 0) {
+            nextCallTimer = cancel(nextCallTimer);
+            schedulePacedCall();
         }
     }
 
-    private void lost() {
-        resumed = false;
-        lostMicros = time.now();
+    private void handleWatchLost() {
+        recoveryReported = false;
+        watchLostMicros = time.now();
         confirmation.watchLost();
-        unwatched.run();
+        watchLostTask.run();
     }
 
-    private void failed(Call call) {
+    private void handleCallFailure(Call call) {
         counters.add(Count.INVENTORY_FAILED);
-        calls.remove(call);
+        watchCalls.remove(call);
         if (call == watch) {
             watch = null;
-            lost();
+            handleWatchLost();
         } else {
-            if (call.since >= resumedMicros) {
-                pacing.ended(call.ending()); // one from before discovery's return says nothing of how many call now
+            if (call.startedMicros >= recoveredMicros) {
+                pacing.recordOutcome(call.outcome()); // an earlier call tells nothing about the load after the recovery
             }
-            confirmation.failed(call.ending(), call.since, time.now());
-        }
-        if (call == asked && attending()) {
-            askAgain = time.after(pause(call.since), this::ask);
-        } else if (calling()) {
-            callAgainLater(); // another watch is on its way, and makes up for it
-        } else if (attending()) {
-            tryAfter(pause(call.since));
-        } else if (moves > 0 && moves < MOST_MOVES) {
-            moves++;
-            tryAfter(Math.max(MOVE_AGAIN_MICROS, pacing.pauseMicros()));
-        } else if (!call.silent) {
-            moves = 0;
-            secondCall = cancelled(secondCall);
-            events.accept(new ServerList(ListKind.FAILED, inventory.version(), List.of()));
+            confirmation.callFailed(call.outcome(), call.startedMicros, time.now());
+        }
+        if (call == listCall && watchesContinuously()) {
+            listRetryTimer = time.after(nextReconnectDelay(call.startedMicros), this::ask);
+        } else if (watchCallPending()) {
+            scheduleHedgedCall(); // the pending call replaces the failed one
+        } else if (watchesContinuously()) {
+            scheduleWatchCall(nextReconnectDelay(call.startedMicros));
+        } else if (addressChangeAttempts > 0 && addressChangeAttempts < MAX_ADDRESS_CHANGE_ATTEMPTS) {
+            addressChangeAttempts++;
+            scheduleWatchCall(Math.max(ADDRESS_CHANGE_RETRY_MICROS, pacing.nextDelayMicros()));
+        } else if (!call.idleReported) {
+            addressChangeAttempts = 0;
+            hedgeTimer = cancel(hedgeTimer);
+            listener.accept(new ServerList(ListKind.FAILED, inventory.version(), List.of()));
         }
     }
 
-    private void tryAfter(long micros) {
-        secondCall = cancelled(secondCall);
-        nextTry = time.after(micros, this::call);
+    private void scheduleWatchCall(long delayMicros) {
+        hedgeTimer = cancel(hedgeTimer);
+        nextCallTimer = time.after(delayMicros, this::startWatchCall);
     }
 
-    /** The watch says nothing any more. It is kept until another one answers, as an agent may have nothing to tell from. */
-    private void silent(Call call) {
-        if (confirmation.watched()) {
-            lost();
+    /** Keeps an idle watch until a new one is established: an agent that is cut off from discovery sends nothing either. */
+    private void handleWatchIdle(Call call) {
+        if (confirmation.hasLiveWatch()) {
+            handleWatchLost();
         }
-        if (calling()) {
+        if (watchCallPending()) {
             return;
         }
-        if (attending()) {
-            call();
-        } else if (!call.silent) {
-            call.silent = true;
+        if (watchesContinuously()) {
+            startWatchCall();
+        } else if (!call.idleReported) {
+            call.idleReported = true;
             counters.add(Count.INVENTORY_FAILED);
-            events.accept(new ServerList(ListKind.FAILED, inventory.version(), List.of()));
+            listener.accept(new ServerList(ListKind.FAILED, inventory.version(), List.of()));
         }
     }
 
-    /** Asks once for the whole list; a call that is out already serves as well. */
+    /** Fetches the whole list once, unless such a call is already in flight. */
     public void ask() {
-        askAgain = cancelled(askAgain);
-        if (asked == null || asked.over) {
-            asked = new Call("/v1/servers", false);
+        listRetryTimer = cancel(listRetryTimer);
+        if (listCall == null || listCall.closed) {
+            listCall = new Call("/v1/servers", false);
         }
     }
 
-    private final class Call implements LinkEvents, ListLines.Hearer {
-        private final boolean watching;
+    /** One HTTP call to discovery: a watch, or a request for the whole list. */
+    private final class Call implements LinkEvents, ListLines.Listener {
+        private final boolean isWatch;
         private final String target;
-        private final ResponseReader reader = new ResponseReader(LONGEST_BODY);
+        private final ResponseReader reader = new ResponseReader(MAX_BODY_BYTES);
         private final ByteArrayOutputStream body = new ByteArrayOutputStream();
-        private final ListLines lines = new ListLines(LONGEST_BODY, this);
+        private final ListLines lines = new ListLines(MAX_BODY_BYTES, this);
         private Link link;
         private Time.Timer timeout;
-        private final InetSocketAddress at = address;
-        private final long since = time.now();
-        private boolean answered;
-        /** Nothing came for too long, and that was told. */
-        private boolean silent;
-
-        private boolean over;
-        private boolean opened;
+        private final InetSocketAddress remoteAddress = address;
+        private final long startedMicros = time.now();
+        private boolean established;
+        /** Whether the listener was told that this watch is idle. */
+        private boolean idleReported;
+
+        private boolean closed;
+        private boolean connected;
         private boolean timedOut;
-        /** Whether it has told what there was, so that all later signs of life say that nothing is missing. */
-        private boolean complete;
+        /** Whether the watch has delivered a complete list, so that each heartbeat confirms it. */
+        private boolean listComplete;
 
-        Call(String target, boolean watching) {
+        Call(String target, boolean isWatch) {
             this.target = target;
-            this.watching = watching;
+            this.isWatch = isWatch;
             counters.add(Count.INVENTORY_CALLS);
-            timeout = time.after(ANSWER_MICROS, this::timedOut);
-            link = dialer.dial(at, this);
+            timeout = time.after(ANSWER_TIMEOUT_MICROS, this::handleTimeout);
+            link = dialer.dial(remoteAddress, this);
         }
 
         @Override
         public void opened() {
-            opened = true;
-            String host = at.getAddress().getHostAddress() + ":" + at.getPort();
+            connected = true;
+            String host = remoteAddress.getAddress().getHostAddress() + ":" + remoteAddress.getPort();
             link.write(RequestWriter.request("GET", target, host, Map.of(), null));
         }
 
         @Override
         public void received(byte[] bytes) {
-            if (over) {
+            if (closed) {
                 return;
             }
             try {
                 reader.feed(bytes);
-                if (reader.headed() && reader.status() != OK) {
+                if (reader.headed() && reader.status() != HTTP_OK) {
                     fail();
                     return;
                 }
-                if (watching && reader.headed() && !answered) {
-                    answered = true;
-                    alive();
-                    arrived(this);
+                if (isWatch && reader.headed() && !established) {
+                    established = true;
+                    onHeartbeat();
+                    handleWatchEstablished(this);
                 }
-                byte[] more = reader.takeBody();
-                if (watching) {
-                    lines.feed(more);
+                byte[] bodyBytes = reader.takeBody();
+                if (isWatch) {
+                    lines.feed(bodyBytes);
                 } else {
-                    body.writeBytes(more);
+                    body.writeBytes(bodyBytes);
                 }
                 if (reader.whole()) {
-                    end();
+                    handleResponseEnd();
                 }
             } catch (HttpException e) {
                 counters.add(Count.INVENTORY_BAD);
@@ -380,99 +396,99 @@
             }
         }
 
-        private void end() {
-            if (watching) {
+        private void handleResponseEnd() {
+            if (isWatch) {
                 fail();
-            } else if (tell(body.toString(StandardCharsets.UTF_8))) {
-                confirmation.complete(since);
+            } else if (applyList(body.toString(StandardCharsets.UTF_8))) {
+                confirmation.recordComplete(startedMicros);
                 if (watch != null) {
-                    watch.complete = true;
+                    watch.listComplete = true;
                 }
-                abandon();
+                cancel();
             } else {
                 fail();
             }
         }
 
         @Override
-        public void told(String object) {
-            if (!over && !tell(object)) {
+        public void onObject(String object) {
+            if (!closed && !applyList(object)) {
                 ask();
             }
         }
 
-        /** Danger: it may have told of a drain. It is ignored, and the whole list makes up for it. */
+        /** Fetches the whole list, since the lost input may have announced a drain. */
         @Override
-        public void spoilt() {
-            if (!over) {
+        public void onMalformed() {
+            if (!closed) {
                 counters.add(Count.INVENTORY_BAD);
-                complete = false;
+                listComplete = false;
                 ask();
             }
         }
 
-        /** A line that drips on and never ends is silence too: only its end is a sign of life. */
+        /** Restarts the idle timer at the end of a line only: a line that never ends counts as idle. */
         @Override
-        public void alive() {
-            if (!over) {
-                silent = false;
-                if (watching && complete) {
-                    confirmation.watchAlive(time.now());
+        public void onHeartbeat() {
+            if (!closed) {
+                idleReported = false;
+                if (isWatch && listComplete) {
+                    confirmation.watchHeartbeat(time.now());
                 }
-                listenOn();
+                restartIdleTimer();
             }
         }
 
-        private void listenOn() {
+        private void restartIdleTimer() {
             timeout.cancel();
-            timeout = time.after(SILENCE_MICROS, this::timedOut);
+            timeout = time.after(WATCH_IDLE_TIMEOUT_MICROS, this::handleTimeout);
         }
 
-        private boolean tell(String text) {
+        private boolean applyList(String text) {
             try {
-                ServerList list = watching ? inventory.told(text) : inventory.answered(text);
+                ServerList list = isWatch ? inventory.applyWatchObject(text) : inventory.applyFullList(text);
                 counters.add(Count.INVENTORY_LISTS);
                 if (list != null) {
-                    events.accept(list);
+                    listener.accept(list);
                 }
-                complete = !inventory.wantsWhole();
-                return complete;
+                listComplete = !inventory.needsFullList();
+                return listComplete;
             } catch (JSONException e) {
                 counters.add(Count.INVENTORY_BAD);
-                complete = false;
+                listComplete = false;
                 return false;
             }
         }
 
-        private void timedOut() {
+        private void handleTimeout() {
             if (this == watch) {
-                Discovery.this.silent(this);
-                listenOn();
+                Discovery.this.handleWatchIdle(this);
+                restartIdleTimer();
             } else {
                 timedOut = true;
                 fail();
             }
         }
 
-        /** How a call that has failed ended. */
-        CallPacing.End ending() {
+        /** Returns how this failed call ended. */
+        CallPacing.Outcome outcome() {
             if (timedOut) {
-                return CallPacing.End.SILENT;
+                return CallPacing.Outcome.TIMED_OUT;
             }
-            return opened ? CallPacing.End.TURNED_DOWN : CallPacing.End.REFUSED;
+            return connected ? CallPacing.Outcome.REJECTED : CallPacing.Outcome.CONNECTION_FAILED;
         }
 
         @Override
         public void written() {
-            // Nothing turns on when a call has left.
+            // Timeouts run from the start of the call.
         }
 
         @Override
         public void closed() {
-            if (!over) {
+            if (!closed) {
                 reader.end();
-                if (!watching && reader.whole()) {
-                    end();
+                if (!isWatch && reader.whole()) {
+                    handleResponseEnd();
                 } else {
                     fail();
                 }
@@ -480,14 +496,14 @@
         }
 
         private void fail() {
-            if (!over) {
-                abandon();
-                failed(this);
+            if (!closed) {
+                cancel();
+                handleCallFailure(this);
             }
         }
 
-        private void abandon() {
-            over = true;
+        private void cancel() {
+            closed = true;
             timeout.cancel();
             link.close();
         }
--- a/balancer/src/main/java/baymoor/peers/Peers.java
+++ b/balancer/src/main/java/baymoor/peers/Peers.java
@@ -7,75 +7,86 @@
 import java.util.List;
 import java.util.Map;
 
-/** The other balancers of the tier: numbers to addresses and back, and the size of what they may send. */
+/**
+ * The balancers of the tier: maps their indexes to addresses and back, and limits the size of datagrams. Used on the decision
+ * thread.
+ */
 public final class Peers {
 
-    /** The longest datagram that the settings of a site allow; a longer one voids the run. */
-    public static final int LONGEST = 256;
+    /** The longest datagram that a site's rules allow. */
+    public static final int MAX_DATAGRAM_BYTES = 256;
 
-    /** Takes the messages of other balancers. */
+    /** Receives the datagrams of peers, with the sender's index. */
     @FunctionalInterface
-    public interface Heard {
-        void message(int from, byte[] content);
+    public interface MessageHandler {
+        /** Handles one datagram. */
+        void onMessage(int peer, byte[] datagram);
     }
 
     private final List<InetSocketAddress> addresses;
-    private final Map<InetSocketAddress, Integer> numbers = new HashMap<>();
+    private final Map<InetSocketAddress, Integer> indexes = new HashMap<>();
     private final InetSocketAddress self;
-    private final InetSocketAddress everyone;
+    private final InetSocketAddress broadcastAddress;
     private final PeerLink link;
     private final Counters counters;
-    private final Heard heard;
+    private final MessageHandler handler;
 
     /**
-     * @param self     this balancer's own address among them, or null
-     * @param everyone the address that reaches all, or null where each has to be told by itself
+     * Creates the mapping.
+     *
+     * @param addresses        the balancers' addresses by index
+     * @param self             this balancer's own address among them, or null
+     * @param broadcastAddress address that reaches all balancers, or null if datagrams are sent to each one
      */
     public Peers(
             List<InetSocketAddress> addresses,
             InetSocketAddress self,
-            InetSocketAddress everyone,
+            InetSocketAddress broadcastAddress,
             PeerLink link,
             Counters counters,
-            Heard heard) {
+            MessageHandler handler) {
         this.self = self;
         this.addresses = List.copyOf(addresses);
         for (int i = 0; i < addresses.size(); i++) {
-            numbers.putIfAbsent(addresses.get(i), i);
+            indexes.putIfAbsent(addresses.get(i), i);
         }
-        this.everyone = everyone;
+        this.broadcastAddress = broadcastAddress;
         this.link = link;
         this.counters = counters;
-        this.heard = heard;
+        this.handler = handler;
     }
 
-    /** Tells one peer by its number, or all with a negative one; what can't be sent is lost like any datagram. */
-    public void tell(int peer, byte[] content) {
-        if (peer < 0 && everyone == null && self != null) {
+    /**
+     * Sends a datagram to one peer, or to all. One that is too long or has an unknown peer is counted and dropped.
+     *
+     * @param peer the peer's index, or a negative number for all peers
+     */
+    public void tell(int peer, byte[] datagram) {
+        if (peer < 0 && broadcastAddress == null && self != null) {
             for (int i = 0; i < addresses.size(); i++) {
                 if (!addresses.get(i).equals(self)) {
-                    tell(i, content);
+                    tell(i, datagram);
                 }
             }
             return;
         }
-        InetSocketAddress to = peer < 0 ? everyone : peer < addresses.size() ? addresses.get(peer) : null;
-        if (to == null || content.length > LONGEST) {
+        InetSocketAddress to = peer < 0 ? broadcastAddress : peer < addresses.size() ? addresses.get(peer) : null;
+        if (to == null || datagram.length > MAX_DATAGRAM_BYTES) {
             counters.add(Count.ACTIONS_IGNORED);
             return;
         }
         counters.add(Count.PEER_SENT);
-        link.send(to, content);
+        link.send(to, datagram);
     }
 
-    /** Takes a datagram; one from an address that is no peer's, or too long, is counted and dropped. */
-    public void received(InetSocketAddress from, byte[] content) {
-        int number = numbers.getOrDefault(from, -1);
-        if (number < 0 || content.length > LONGEST) {
+    /** Passes a datagram to the handler; one from an unknown address or one that is too long is counted and dropped. */
+    public void received(InetSocketAddress from, byte[] datagram) {
+        int peer = indexes.getOrDefault(from, -1);
+        if (peer < 0 || datagram.length > MAX_DATAGRAM_BYTES) {
             counters.add(Count.PEER_BAD);
             return;
         }
         counters.add(Count.PEER_HEARD);
-        heard.message(number, content);
+        handler.onMessage(peer, datagram);
     }
 }
--- a/balancer/src/test/java/baymoor/inventory/ListConfirmationTest.java
+++ b/balancer/src/test/java/baymoor/inventory/ListConfirmationTest.java
@@ -4,7 +4,7 @@
 import static org.junit.Assert.assertFalse;
 import static org.junit.Assert.assertTrue;
 
-import baymoor.inventory.CallPacing.End;
+import baymoor.inventory.CallPacing.Outcome;
 import org.junit.Test;
 
 public class ListConfirmationTest {
@@ -14,68 +14,68 @@
 
     private final ListConfirmation confirmation = ListConfirmation.from(START, true);
 
-    private void lastsUntil(long micros) {
+    private void checkCurrentUntil(long micros) {
         assertTrue(confirmation.current(micros - 1));
         assertFalse(confirmation.current(micros));
     }
 
     @Test
-    public void aListOfUnknownAgeMayBeUsedForSixSecondsFromTheStart() {
-        assertFalse(confirmation.confirmed());
-        lastsUntil(START + 6 * SECOND);
+    public void listOfUnknownAgeIsCurrentForSixSecondsAfterStart() {
+        assertFalse(confirmation.isConfirmed());
+        checkCurrentUntil(START + 6 * SECOND);
     }
 
     @Test
-    public void aWatchConfirmsForAsLongAsItLivesAndSixSecondsFromItsLastSign() {
-        confirmation.watchAlive(START + 3 * SECOND);
+    public void listIsCurrentWhileTheWatchIsLiveAndSixSecondsAfterItsLastHeartbeat() {
+        confirmation.watchHeartbeat(START + 3 * SECOND);
         assertTrue(confirmation.current(START + 1000 * SECOND));
-        confirmation.watchAlive(START + 50 * SECOND);
+        confirmation.watchHeartbeat(START + 50 * SECOND);
         confirmation.watchLost();
-        lastsUntil(START + 56 * SECOND);
+        checkCurrentUntil(START + 56 * SECOND);
     }
 
     @Test
-    public void whatIsOlderTakesNothingBack() {
-        confirmation.complete(START + 9 * SECOND);
-        confirmation.complete(START + 2 * SECOND);
-        lastsUntil(START + 15 * SECOND);
-        assertEquals(START + 9 * SECOND, confirmation.completeMicros());
+    public void olderConfirmationHasNoEffect() {
+        confirmation.recordComplete(START + 9 * SECOND);
+        confirmation.recordComplete(START + 2 * SECOND);
+        checkCurrentUntil(START + 15 * SECOND);
+        assertEquals(START + 9 * SECOND, confirmation.lastCompleteMicros());
     }
 
     @Test
-    public void whereDiscoveryTakesNoConnectionTheTimeIsCountedAnew() {
-        confirmation.failed(End.REFUSED, START + 5 * SECOND, START + 5 * SECOND + 1);
-        lastsUntil(START + 11 * SECOND);
+    public void failedConnectionRestartsTheSixSeconds() {
+        confirmation.callFailed(Outcome.CONNECTION_FAILED, START + 5 * SECOND, START + 5 * SECOND + 1);
+        checkCurrentUntil(START + 11 * SECOND);
     }
 
-    /** It waits for its turn as long where too many call as where discovery is down, and ends in the same way. */
+    /** A rejection alone can't distinguish an overloaded discovery from one that is down. */
     @Test
-    public void aCallTurnedDownMayMeanDownWhereNobodyElseKnowsMore() {
-        confirmation.failed(End.TURNED_DOWN, START + 2 * SECOND, START + 4 * SECOND);
-        lastsUntil(START + 6 * SECOND);
-        confirmation.noneKnows(START + 4 * SECOND);
-        confirmation.failed(End.TURNED_DOWN, START + 3 * SECOND, START + 5 * SECOND);
-        lastsUntil(START + 9 * SECOND);
-        confirmation.failed(End.TURNED_DOWN, START + 8 * SECOND, START + 8 * SECOND);
-        lastsUntil(START + 9 * SECOND);
+    public void rejectionCountsAsUnreachableOnlyIfNoPeerHasANewerList() {
+        confirmation.callFailed(Outcome.REJECTED, START + 2 * SECOND, START + 4 * SECOND);
+        checkCurrentUntil(START + 6 * SECOND);
+        confirmation.peerHasNoNewerList(START + 4 * SECOND);
+        confirmation.callFailed(Outcome.REJECTED, START + 3 * SECOND, START + 5 * SECOND);
+        checkCurrentUntil(START + 9 * SECOND);
+        confirmation.callFailed(Outcome.REJECTED, START + 8 * SECOND, START + 8 * SECOND);
+        checkCurrentUntil(START + 9 * SECOND);
     }
 
     @Test
-    public void whereThereIsNobodyToAskACallTurnedDownMeansDown() {
-        ListConfirmation alone = ListConfirmation.from(START, false);
-        alone.failed(End.TURNED_DOWN, START + 5 * SECOND, START + 5 * SECOND + 9);
-        assertTrue(alone.current(START + 10 * SECOND));
+    public void rejectionCountsAsUnreachableWithoutPeers() {
+        ListConfirmation withoutPeers = ListConfirmation.from(START, false);
+        withoutPeers.callFailed(Outcome.REJECTED, START + 5 * SECOND, START + 5 * SECOND + 9);
+        assertTrue(withoutPeers.current(START + 10 * SECOND));
     }
 
     @Test
-    public void aDeadConnectionSaysNothingOfDiscovery() {
-        confirmation.noneKnows(START + 5 * SECOND);
-        confirmation.failed(End.SILENT, START + SECOND, START + 5 * SECOND);
-        lastsUntil(START + 6 * SECOND);
+    public void timeoutDoesNotCountAsUnreachable() {
+        confirmation.peerHasNoNewerList(START + 5 * SECOND);
+        confirmation.callFailed(Outcome.TIMED_OUT, START + SECOND, START + 5 * SECOND);
+        checkCurrentUntil(START + 6 * SECOND);
     }
 
     @Test
-    public void listsThatArePushedNeedNoConfirmation() {
+    public void pushedListIsAlwaysCurrent() {
         assertTrue(ListConfirmation.notNeeded().current(Long.MAX_VALUE / 4));
     }
 }
