--- a/balancer/src/main/java/baymoor/north/RespClient.java
+++ b/balancer/src/main/java/baymoor/north/RespClient.java
@@ -3,7 +3,7 @@
 import baymoor.counters.Count;
 import baymoor.link.Link;
 import baymoor.link.LinkEvents;
-import baymoor.north.North.PendingAnswer;
+import baymoor.north.North.PendingReply;
 import baymoor.resp.Resp;
 import baymoor.resp.RespException;
 import baymoor.resp.RespReader;
@@ -48,7 +48,7 @@
     private final North north;
     private final Link link;
     private final RespReader reader = RespReader.ofCommands();
-    private final Deque<PendingAnswer> row = new ArrayDeque<>();
+    private final Deque<PendingReply> row = new ArrayDeque<>();
     private int unwritten;
     private boolean extra;
     /** Nothing more is read: it said what can't be read, or this side's end has gone out. */
@@ -63,7 +63,7 @@
     private boolean paused;
     private boolean spoken;
     /** When this connection last got on: came up, brought a whole command, sent an answer, or was ended. */
-    private long movedMicros;
+    private long progressMicros;
     /** Since when it lacks the end of a command. */
     private long partMicros;
     /** When the last bytes may have come in: clients count their time from before that. */
@@ -72,11 +72,11 @@
     RespClient(North north, Link link) {
         this.north = north;
         this.link = link;
-        movedMicros = north.time.now();
-        partMicros = movedMicros;
+        progressMicros = north.time.now();
+        partMicros = progressMicros;
     }
 
-    boolean spoken() {
+    boolean hasSentCommand() {
         return spoken;
     }
 
@@ -86,7 +86,7 @@
      * router came up in between, each attempt of a client that had left ended as not sent, and after five of them, all before
      * the client's end was told, the request counted as refused and not as gone.
      */
-    boolean there() {
+    boolean isConnected() {
         if (!left && link.over()) {
             left = true;
             north.time.after(0, this::forget);
@@ -95,81 +95,86 @@
     }
 
     /** Since when nothing has moved here. */
-    long movedMicros() {
-        return movedMicros;
+    long progressMicros() {
+        return progressMicros;
     }
 
     /** Whether it has been served and wants nothing for so long. */
-    boolean rests(long micros) {
-        return spoken && !stopped && !leaving && quiet() && unwritten == 0 && north.time.now() - movedMicros > micros;
+    boolean hasBeenIdleFor(long micros) {
+        return spoken
+                && !stopped
+                && !leaving
+                && isIdle()
+                && unwritten == 0
+                && north.time.now() - progressMicros > micros;
     }
 
     /** Whether nothing whole ever came, for longer than a client's first request is on its way. */
-    boolean silent() {
-        return !spoken && !stopped && !leaving && !link.unread() && north.time.now() - movedMicros > SILENT_MICROS;
+    boolean isSilent() {
+        return !spoken && !stopped && !leaving && !link.unread() && north.time.now() - progressMicros > SILENT_MICROS;
     }
 
     /** Whether its first request may still be on the way: no client opens a connection for nothing. */
-    boolean awaited() {
-        return !spoken && !stopped && !leaving && !silent();
+    boolean awaitsFirstCommand() {
+        return !spoken && !stopped && !leaving && !isSilent();
     }
 
     /** Closes the connection if it has waited too long for what does not come. */
-    void look(boolean crowded) {
+    void checkTimeouts(boolean crowded) {
         long now = north.time.now();
         boolean half = !stopped && !leaving && !paused && !link.unread() && (!spoken || reader.pending());
         if (stopped || leaving
-                ? row.isEmpty() && now - movedMicros > PARTING_MICROS
-                : unwritten > 0 && now - movedMicros > STUCK_MICROS) {
+                ? row.isEmpty() && now - progressMicros > PARTING_MICROS
+                : unwritten > 0 && now - progressMicros > STUCK_MICROS) {
             north.counters.add(Count.CLIENTS_STUCK);
             link.close();
         } else if (half && now - partMicros > COMMAND_MICROS) {
             north.counters.add(Count.CLIENTS_SILENT);
             end(RespWriter.error("ERR no whole command in time"));
-        } else if (north.draining() && quiet() && silent()) {
-            leave();
-        } else if (quiet()
+        } else if (north.isDraining() && isIdle() && isSilent()) {
+            closeAfterReplies();
+        } else if (isIdle()
                 && !stopped
                 && !leaving
-                && now - movedMicros > (crowded ? CROWDED_IDLE_MICROS : IDLE_MICROS)) {
+                && now - progressMicros > (crowded ? CROWDED_IDLE_MICROS : IDLE_MICROS)) {
             north.counters.add(Count.CLIENTS_IDLE);
-            leave();
+            closeAfterReplies();
         }
     }
 
-    boolean quiet() {
+    boolean isIdle() {
         return row.isEmpty() && !reader.pending() && !link.unread();
     }
 
     /** Whether every answer has left, and then this side's end. */
-    boolean ended() {
+    boolean isOutputClosed() {
         return finished;
     }
 
     /** There are too many connections, all of them busy: the first request here is turned away, then it is closed. */
-    void oneAnswerOnly() {
+    void rejectFirstRequest() {
         extra = true;
     }
 
     /** Ends this connection once all answers have left, unless a command comes in before that. */
-    void leave() {
+    void closeAfterReplies() {
         if (!leaving) {
             leaving = true;
-            north.notAtRest(this);
-            movedMicros = north.time.now();
+            north.markBusy(this);
+            progressMicros = north.time.now();
             link.finish(stopped);
         }
     }
 
     /** Ends it in any case: the program does. */
-    void endAnyway() {
+    void closeUnconditionally() {
         stop();
         leaving = false;
-        leave();
+        closeAfterReplies();
     }
 
     /** At once, where it has had its time to end. */
-    void cut() {
+    void closeNow() {
         link.close();
     }
 
@@ -177,15 +182,15 @@
     private void stop() {
         if (!stopped) {
             stopped = true;
-            north.notAtRest(this);
+            north.markBusy(this);
             link.reading(false);
         }
     }
 
     /** Answers once more, and closes once that has left. */
-    private void end(byte[] answer) {
+    private void end(byte[] reply) {
         stop();
-        atOnce(answer);
+        atOnce(reply);
     }
 
     @Override
@@ -207,8 +212,8 @@
             return;
         }
         leaving = false; // this came in before the end could go out
-        north.notAtRest(this);
-        north.used(this);
+        north.markBusy(this);
+        north.markUsed(this);
         partMicros = reader.pending() ? partMicros : north.time.now();
         cameMicros = north.time.came();
         reader.feed(bytes);
@@ -223,8 +228,8 @@
                     break;
                 }
                 spoken = true;
-                movedMicros = north.time.now();
-                partMicros = movedMicros;
+                progressMicros = north.time.now();
+                partMicros = progressMicros;
                 if (row.size() >= MOST_OWED) {
                     north.counters.add(Count.TURNED_AWAY);
                     turnAway();
@@ -260,7 +265,7 @@
             case "OBJ.GET" -> request(words, GET_WORDS);
             case "OBJ.SET" -> request(words, SET_WORDS);
             case "PING" -> other(words.size() > 1 ? RespWriter.bulk(words.get(1)) : RespWriter.simple("PONG"));
-            case "INFO" -> other(RespWriter.bulk(RespWriter.ascii(north.report.get())));
+            case "INFO" -> other(RespWriter.bulk(RespWriter.ascii(north.counterReport.get())));
             case "CLIENT", "SELECT" -> other(RespWriter.simple("OK"));
             default -> {
                 boolean shown = name.length() <= LONGEST_NAME && name.chars().allMatch(c -> c > ' ' && c < 127);
@@ -269,9 +274,9 @@
         }
     }
 
-    private void other(byte[] answer) {
+    private void other(byte[] reply) {
         north.counters.add(Count.COMMANDS_OTHER);
-        atOnce(answer);
+        atOnce(reply);
     }
 
     private void bad(String why) {
@@ -287,44 +292,45 @@
         ClientRequest request;
         try {
             byte[] value = count == SET_WORDS ? words.get(4) : null;
-            request = Facts.read(words.get(1), words.get(2), words.get(3), value, north.classes, cameMicros);
-        } catch (Facts.Refused e) {
+            request = RequestParser.parse(
+                    words.get(1), words.get(2), words.get(3), value, north.requestClasses, cameMicros);
+        } catch (RequestParser.InvalidRequestException e) {
             bad(e.getMessage());
             return;
         }
-        if (north.open(request.id())) {
+        if (north.isIdInUse(request.id())) {
             // Seen: the id of another client's request that is open. One of the two would get the other's answer.
             bad("id is in use");
             return;
         }
-        if (extra || north.full(request)) {
+        if (extra || north.overCapacity(request)) {
             turnAway();
             return;
         }
-        PendingAnswer pending = north.take(this, request);
+        PendingReply pending = north.register(this, request);
         row.addLast(pending);
-        north.hand(pending, request);
+        north.dispatch(pending, request);
     }
 
     /** One more refusal; a row of them at the end is kept as one with its number, as a client may send on without end. */
     private void turnAway() {
-        PendingAnswer last = row.peekLast();
-        if (last != null && last.answer == TURNED_AWAY) {
-            last.times++;
+        PendingReply last = row.peekLast();
+        if (last != null && last.reply == TURNED_AWAY) {
+            last.repeatCount++;
         } else {
             atOnce(TURNED_AWAY);
         }
     }
 
-    private void atOnce(byte[] answer) {
-        PendingAnswer pending = new PendingAnswer(this, 0, 0);
-        pending.answer = answer;
+    private void atOnce(byte[] reply) {
+        PendingReply pending = new PendingReply(this, 0, 0);
+        pending.reply = reply;
         row.addLast(pending);
         flush();
     }
 
-    void answer(PendingAnswer pending, Answer answer) {
-        pending.answer = answer instanceof Answer.Served served
+    void complete(PendingReply pending, Answer answer) {
+        pending.reply = answer instanceof Answer.Served served
                 ? RespWriter.bulk(served.value())
                 : answer instanceof Answer.BackOff wait
                         ? RespWriter.error(busy(wait.afterMicros()))
@@ -337,18 +343,18 @@
     }
 
     private void flush() {
-        while (!row.isEmpty() && row.peekFirst().answer != null && unwritten < MOST_OWED) {
-            movedMicros = unwritten++ == 0 && !stopped ? north.time.now() : movedMicros;
-            PendingAnswer first = row.peekFirst();
-            int together = Math.min(first.times, MOST_TOGETHER);
-            first.times -= together;
-            if (first.times == 0) {
+        while (!row.isEmpty() && row.peekFirst().reply != null && unwritten < MOST_OWED) {
+            progressMicros = unwritten++ == 0 && !stopped ? north.time.now() : progressMicros;
+            PendingReply first = row.peekFirst();
+            int together = Math.min(first.repeatCount, MOST_TOGETHER);
+            first.repeatCount -= together;
+            if (first.repeatCount == 0) {
                 row.removeFirst();
             }
-            link.write(together == 1 ? first.answer : RespWriter.times(first.answer, together));
+            link.write(together == 1 ? first.reply : RespWriter.repeat(first.reply, together));
         }
-        if (row.isEmpty() && (stopped || (extra || north.draining()) && quiet())) {
-            leave();
+        if (row.isEmpty() && (stopped || (extra || north.isDraining()) && isIdle())) {
+            closeAfterReplies();
         } else {
             resume();
         }
@@ -357,9 +363,9 @@
     @Override
     public void written() {
         unwritten--;
-        movedMicros = stopped ? movedMicros : north.time.now();
+        progressMicros = stopped ? progressMicros : north.time.now();
         if (unwritten == 0 && row.isEmpty() && spoken && !stopped && !leaving) {
-            north.atRest(this);
+            north.markIdle(this);
         }
         if (row.isEmpty()) {
             resume();
@@ -385,7 +391,7 @@
     /** Nothing is owed here any more. */
     private void forget() {
         stopped = true;
-        north.gone(this, List.copyOf(row));
+        north.clientDisconnected(this, List.copyOf(row));
         row.clear();
     }
 }
