--- a/balancer/src/main/java/baymoor/http/HttpException.java
+++ b/balancer/src/main/java/baymoor/http/HttpException.java
@@ -5,7 +5,7 @@
 
     private static final long serialVersionUID = 1;
 
-    public HttpException(String what) {
-        super(what, null, false, false);
+    public HttpException(String message) {
+        super(message, null, false, false);
     }
 }
--- a/balancer/src/main/java/baymoor/http/RequestWriter.java
+++ b/balancer/src/main/java/baymoor/http/RequestWriter.java
@@ -23,23 +23,23 @@
         if (body != null) {
             head.append("Content-Length: ").append(body.length).append("\r\n");
         }
-        byte[] top = head.append("\r\n").toString().getBytes(StandardCharsets.UTF_8);
+        byte[] headBytes = head.append("\r\n").toString().getBytes(StandardCharsets.UTF_8);
         if (body == null) {
-            return top;
+            return headBytes;
         }
-        byte[] all = new byte[top.length + body.length];
-        System.arraycopy(top, 0, all, 0, top.length);
-        System.arraycopy(body, 0, all, top.length, body.length);
-        return all;
+        byte[] encoded = new byte[headBytes.length + body.length];
+        System.arraycopy(headBytes, 0, encoded, 0, headBytes.length);
+        System.arraycopy(body, 0, encoded, headBytes.length, body.length);
+        return encoded;
     }
 
     /** One path segment, with all that is not unreserved escaped. */
     public static String segment(String text) {
         StringBuilder out = new StringBuilder();
         for (byte b : text.getBytes(StandardCharsets.UTF_8)) {
-            boolean plain =
+            boolean unreserved =
                     b >= '0' && b <= '9' || b >= 'a' && b <= 'z' || b >= 'A' && b <= 'Z' || UNRESERVED.indexOf(b) >= 0;
-            out.append(plain ? String.valueOf((char) b) : String.format("%%%02X", b & 0xff));
+            out.append(unreserved ? String.valueOf((char) b) : String.format("%%%02X", b & 0xff));
         }
         return out.toString();
     }
--- a/balancer/src/main/java/baymoor/http/ResponseReader.java
+++ b/balancer/src/main/java/baymoor/http/ResponseReader.java
@@ -8,94 +8,94 @@
 /** Takes the bytes of one HTTP/1.1 answer in any pieces. Lines, headers and the body not yet taken are bounded. */
 public final class ResponseReader {
 
-    private enum Part {
-        STATUS,
+    private enum State {
+        STATUS_LINE,
         HEADERS,
         BODY,
-        BODY_TO_END,
+        BODY_UNTIL_CLOSE,
         CHUNK_SIZE,
-        CHUNK,
+        CHUNK_DATA,
         CHUNK_END,
-        TRAILER,
+        TRAILERS,
         DONE
     }
 
-    private static final int LONGEST_LINE = 8192;
-    private static final int MOST_HEADERS = 100;
-    private static final int NO_CONTENT = 204;
-    private static final int NOT_MODIFIED = 304;
-    private static final int FINAL = 200;
+    private static final int MAX_LINE_LENGTH = 8192;
+    private static final int MAX_HEADERS = 100;
+    private static final int STATUS_NO_CONTENT = 204;
+    private static final int STATUS_NOT_MODIFIED = 304;
+    private static final int MIN_FINAL_STATUS = 200;
 
-    private final int longestBody;
+    private final int maxBodyLength;
     private final StringBuilder line = new StringBuilder();
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private final Map<String, String> headers = new HashMap<>();
-    private Part part = Part.STATUS;
+    private State state = State.STATUS_LINE;
     private int status;
-    private int lines;
-    private long left;
+    private int headerCount;
+    private long remaining;
 
-    public ResponseReader(int longestBody) {
-        this.longestBody = longestBody;
+    public ResponseReader(int maxBodyLength) {
+        this.maxBodyLength = maxBodyLength;
     }
 
     /** Reads on and gives the number of bytes used: fewer than there are once the answer is whole. */
     public int feed(byte[] bytes) throws HttpException {
-        int at = 0;
-        while (at < bytes.length && part != Part.DONE) {
-            if (part == Part.BODY || part == Part.CHUNK || part == Part.BODY_TO_END) {
-                int most = bytes.length - at;
-                int take = part == Part.BODY_TO_END ? most : (int) Math.min(left, most);
-                if (body.size() + take > longestBody) {
+        int position = 0;
+        while (position < bytes.length && state != State.DONE) {
+            if (state == State.BODY || state == State.CHUNK_DATA || state == State.BODY_UNTIL_CLOSE) {
+                int available = bytes.length - position;
+                int length = state == State.BODY_UNTIL_CLOSE ? available : (int) Math.min(remaining, available);
+                if (body.size() + length > maxBodyLength) {
                     throw new HttpException("body too long");
                 }
-                body.write(bytes, at, take);
-                at += take;
-                left -= take;
-                if (left == 0 && part != Part.BODY_TO_END) {
-                    part = part == Part.BODY ? Part.DONE : Part.CHUNK_END;
+                body.write(bytes, position, length);
+                position += length;
+                remaining -= length;
+                if (remaining == 0 && state != State.BODY_UNTIL_CLOSE) {
+                    state = state == State.BODY ? State.DONE : State.CHUNK_END;
                 }
             } else {
-                byte b = bytes[at++];
+                byte b = bytes[position++];
                 if (b == '\n') {
-                    int length = line.length();
-                    line.setLength(length > 0 && line.charAt(length - 1) == '\r' ? length - 1 : length);
-                    String whole = line.toString();
+                    int lineLength = line.length();
+                    line.setLength(lineLength > 0 && line.charAt(lineLength - 1) == '\r' ? lineLength - 1 : lineLength);
+                    String completeLine = line.toString();
                     line.setLength(0);
-                    take(whole);
-                } else if (line.length() >= LONGEST_LINE) {
+                    parseLine(completeLine);
+                } else if (line.length() >= MAX_LINE_LENGTH) {
                     throw new HttpException("line too long");
                 } else {
                     line.append((char) (b & 0xff));
                 }
             }
         }
-        return at;
+        return position;
     }
 
     /** The connection ended: this completes an answer that has no stated length. */
     public void end() {
-        if (part == Part.BODY_TO_END) {
-            part = Part.DONE;
+        if (state == State.BODY_UNTIL_CLOSE) {
+            state = State.DONE;
         }
     }
 
     /** Whether the status line and all headers have been read. */
     public boolean headed() {
-        return part.ordinal() > Part.HEADERS.ordinal();
+        return state.ordinal() > State.HEADERS.ordinal();
     }
 
     /** Whether the response has been read to its end. */
     public boolean whole() {
-        return part == Part.DONE;
+        return state == State.DONE;
     }
 
     /** Whether the connection may carry another request after this answer. */
     public boolean reusable() {
         return whole()
                 && !"close".equalsIgnoreCase(header("connection"))
-                && status >= FINAL
-                && (sized() || status == NO_CONTENT || status == NOT_MODIFIED);
+                && status >= MIN_FINAL_STATUS
+                && (sized() || status == STATUS_NO_CONTENT || status == STATUS_NOT_MODIFIED);
     }
 
     /** Whether the answer itself tells where its body ends. */
@@ -120,85 +120,85 @@
         return taken;
     }
 
-    private void take(String text) throws HttpException {
-        switch (part) {
-            case STATUS -> status(text);
-            case HEADERS -> header(text, true);
+    private void parseLine(String text) throws HttpException {
+        switch (state) {
+            case STATUS_LINE -> parseStatusLine(text);
+            case HEADERS -> parseHeader(text, true);
             case CHUNK_SIZE -> {
                 int semicolon = text.indexOf(';');
-                left = number((semicolon < 0 ? text : text.substring(0, semicolon)).trim(), 16);
-                part = left == 0 ? Part.TRAILER : Part.CHUNK;
+                remaining = parseLength((semicolon < 0 ? text : text.substring(0, semicolon)).trim(), 16);
+                state = remaining == 0 ? State.TRAILERS : State.CHUNK_DATA;
             }
             case CHUNK_END -> {
                 if (!text.isEmpty()) {
                     throw new HttpException("chunk without its end");
                 }
-                part = Part.CHUNK_SIZE;
+                state = State.CHUNK_SIZE;
             }
-            default -> header(text, false);
+            default -> parseHeader(text, false);
         }
     }
 
-    private void status(String text) throws HttpException {
-        boolean right = text.matches("HTTP/1\\.[01] [1-5][0-9][0-9]( .*)?");
-        if (!right || lines > MOST_HEADERS) {
+    private void parseStatusLine(String text) throws HttpException {
+        boolean valid = text.matches("HTTP/1\\.[01] [1-5][0-9][0-9]( .*)?");
+        if (!valid || headerCount > MAX_HEADERS) {
             throw new HttpException("not an HTTP/1.1 status line");
         }
         status = Integer.parseInt(text.substring(9, 12));
-        part = Part.HEADERS;
+        state = State.HEADERS;
     }
 
-    private void header(String text, boolean keep) throws HttpException {
+    private void parseHeader(String text, boolean store) throws HttpException {
         if (text.isEmpty()) {
-            part = keep ? bodyKind() : Part.DONE;
+            state = store ? bodyState() : State.DONE;
             return;
         }
         int colon = text.indexOf(':');
-        boolean named = colon > 0 && text.chars().limit(colon).allMatch(c -> c > ' ' && c < 127);
-        if (!named || ++lines > MOST_HEADERS) {
-            throw new HttpException(named ? "too many headers" : "malformed header");
+        boolean validName = colon > 0 && text.chars().limit(colon).allMatch(c -> c > ' ' && c < 127);
+        if (!validName || ++headerCount > MAX_HEADERS) {
+            throw new HttpException(validName ? "too many headers" : "malformed header");
         }
         String name = text.substring(0, colon).toLowerCase(Locale.ROOT);
         String value = text.substring(colon + 1).trim();
-        String before = keep ? headers.put(name, value) : null;
+        String previous = store ? headers.put(name, value) : null;
         // Two lengths that differ: whichever is believed, the body may be another answer's.
-        if (before != null && !before.equals(value) && name.equals("content-length")) {
+        if (previous != null && !previous.equals(value) && name.equals("content-length")) {
             throw new HttpException("two lengths");
         }
     }
 
-    private Part bodyKind() throws HttpException {
-        if (status < FINAL) {
+    private State bodyState() throws HttpException {
+        if (status < MIN_FINAL_STATUS) {
             headers.clear();
-            lines++; // an answer of nothing but 1xx never ends
-            return Part.STATUS;
+            headerCount++; // an answer of nothing but 1xx never ends
+            return State.STATUS_LINE;
         }
-        if (status == NO_CONTENT || status == NOT_MODIFIED) {
-            return Part.DONE;
+        if (status == STATUS_NO_CONTENT || status == STATUS_NOT_MODIFIED) {
+            return State.DONE;
         }
         String coding = header("transfer-encoding");
         if (coding != null) {
             if (!coding.equalsIgnoreCase("chunked") || headers.containsKey("content-length")) {
                 throw new HttpException("unknown transfer coding, or a length beside it");
             }
-            return Part.CHUNK_SIZE;
+            return State.CHUNK_SIZE;
         }
         String length = header("content-length");
         if (length == null) {
-            return Part.BODY_TO_END;
+            return State.BODY_UNTIL_CLOSE;
         }
-        left = number(length, 10);
-        if (left > longestBody) {
+        remaining = parseLength(length, 10);
+        if (remaining > maxBodyLength) {
             throw new HttpException("body too long");
         }
-        return left == 0 ? Part.DONE : Part.BODY;
+        return remaining == 0 ? State.DONE : State.BODY;
     }
 
-    private static long number(String text, int radix) throws HttpException {
+    private static long parseLength(String text, int radix) throws HttpException {
         try {
-            long n = Long.parseLong(text, radix);
-            if (n >= 0 && n <= Integer.MAX_VALUE && text.matches("[0-9a-fA-F]+")) {
-                return n;
+            long value = Long.parseLong(text, radix);
+            if (value >= 0 && value <= Integer.MAX_VALUE && text.matches("[0-9a-fA-F]+")) {
+                return value;
             }
         } catch (NumberFormatException e) {
             throw new HttpException("length is not a number");
--- a/balancer/src/main/java/baymoor/link/Address.java
+++ b/balancer/src/main/java/baymoor/link/Address.java
@@ -7,8 +7,8 @@
 /** Reads addresses as the platform writes them. */
 public final class Address {
 
-    private static final int HIGHEST_PORT = 65535;
-    private static final String FIGURES = "[0-9]{1,3}(\\.[0-9]{1,3}){3}|\\[[0-9a-fA-F:.]+\\]";
+    private static final int MAX_PORT = 65535;
+    private static final String NUMERIC_HOST = "[0-9]{1,3}(\\.[0-9]{1,3}){3}|\\[[0-9a-fA-F:.]+\\]";
 
     private Address() {}
 
@@ -16,13 +16,13 @@
     public static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
         String host = colon < 0 ? "" : text.substring(0, colon);
-        if (!host.matches(FIGURES)) {
+        if (!host.matches(NUMERIC_HOST)) {
             return null;
         }
         try {
             int port = Integer.parseInt(text.substring(colon + 1));
-            boolean right = port > 0 && port <= HIGHEST_PORT;
-            return right ? new InetSocketAddress(InetAddress.getByName(host), port) : null;
+            boolean validPort = port > 0 && port <= MAX_PORT;
+            return validPort ? new InetSocketAddress(InetAddress.getByName(host), port) : null;
         } catch (NumberFormatException | UnknownHostException e) {
             return null;
         }
--- a/balancer/src/main/java/baymoor/link/Link.java
+++ b/balancer/src/main/java/baymoor/link/Link.java
@@ -14,10 +14,10 @@
      * that nobody has read would reset the connection. What comes in from then on is dropped, and its sender knows that.
      * {@link LinkEvents#finished} tells when that is done.
      *
-     * @param inAnyCase whether that holds also where bytes have come in that {@link LinkEvents#received} had not told of
+     * @param force whether that holds also where bytes have come in that {@link LinkEvents#received} had not told of
      *                  when this was called; without it they are told instead, and nothing is ended
      */
-    void finish(boolean inAnyCase);
+    void finish(boolean force);
 
     /** Whether bytes have come in that {@link LinkEvents#received} has not told of yet. */
     boolean unread();
--- a/balancer/src/main/java/baymoor/resp/RespException.java
+++ b/balancer/src/main/java/baymoor/resp/RespException.java
@@ -5,7 +5,7 @@
 
     private static final long serialVersionUID = 1;
 
-    public RespException(String what) {
-        super(what, null, false, false);
+    public RespException(String message) {
+        super(message, null, false, false);
     }
 }
--- a/balancer/src/main/java/baymoor/resp/RespReader.java
+++ b/balancer/src/main/java/baymoor/resp/RespReader.java
@@ -9,22 +9,22 @@
 public final class RespReader {
 
     /** The longest value that the protocol allows. */
-    public static final int LONGEST_BULK = 64 * 1024;
+    public static final int MAX_BULK_LENGTH = 64 * 1024;
 
-    private static final int LONGEST_LINE = 1024;
+    private static final int MAX_LINE_LENGTH = 1024;
     /** Guards against noise behind a sign that promises a number: waiting on for its end would cost the request. */
-    private static final int LONGEST_NUMBER = 24;
+    private static final int MAX_NUMBER_LENGTH = 24;
 
-    private static final int MOST_ITEMS = 64;
-    private static final int DEEPEST = 3;
-    private static final int LONGEST_MESSAGE = LONGEST_BULK + 16 * 1024;
-    private static final int FIRST_ROOM = 512;
+    private static final int MAX_ARRAY_LENGTH = 64;
+    private static final int MAX_ARRAY_DEPTH = 3;
+    private static final int MAX_MESSAGE_LENGTH = MAX_BULK_LENGTH + 16 * 1024;
+    private static final int INITIAL_CAPACITY = 512;
 
     private final boolean commandsOnly;
-    private byte[] bytes = new byte[FIRST_ROOM];
-    private int from;
-    private int to;
-    private int at;
+    private byte[] buffer = new byte[INITIAL_CAPACITY];
+    private int start;
+    private int end;
+    private int position;
 
     private RespReader(boolean commandsOnly) {
         this.commandsOnly = commandsOnly;
@@ -42,31 +42,31 @@
 
     /** Adds bytes that came in behind those fed before. */
     public void feed(byte[] more) {
-        if (to + more.length > bytes.length) {
-            System.arraycopy(bytes, from, bytes, 0, to - from);
-            to -= from;
-            from = 0;
-            if (to + more.length > bytes.length) {
-                bytes = Arrays.copyOf(bytes, Math.max(2 * bytes.length, to + more.length));
+        if (end + more.length > buffer.length) {
+            System.arraycopy(buffer, start, buffer, 0, end - start);
+            end -= start;
+            start = 0;
+            if (end + more.length > buffer.length) {
+                buffer = Arrays.copyOf(buffer, Math.max(2 * buffer.length, end + more.length));
             }
         }
-        System.arraycopy(more, 0, bytes, to, more.length);
-        to += more.length;
+        System.arraycopy(more, 0, buffer, end, more.length);
+        end += more.length;
     }
 
     /** The next whole value, or null if more bytes are needed. */
     public Resp next() throws RespException {
-        at = from;
-        Resp value = value(0);
+        position = start;
+        Resp value = parseValue(0);
         if (value != null) {
-            from = at;
-            if (from == to) {
-                from = 0;
-                to = 0;
+            start = position;
+            if (start == end) {
+                start = 0;
+                end = 0;
                 // One large value must not keep its room for as long as the connection lives.
-                bytes = bytes.length > LONGEST_BULK / 2 ? new byte[FIRST_ROOM] : bytes;
+                buffer = buffer.length > MAX_BULK_LENGTH / 2 ? new byte[INITIAL_CAPACITY] : buffer;
             }
-        } else if (to - from > LONGEST_MESSAGE) {
+        } else if (end - start > MAX_MESSAGE_LENGTH) {
             throw new RespException("message too long");
         }
         return value;
@@ -74,58 +74,58 @@
 
     /** Whether bytes are there that belong to no value given out so far. */
     public boolean pending() {
-        return to > from;
+        return end > start;
     }
 
-    private Resp value(int depth) throws RespException {
-        if (at == to) {
+    private Resp parseValue(int depth) throws RespException {
+        if (position == end) {
             return null;
         }
-        byte type = bytes[at];
+        byte type = buffer[position];
         // A wrong first byte is wrong however long its line will be.
-        boolean wanted = !commandsOnly || type == (depth == 0 ? '*' : '$');
-        if (!wanted || "+-:$*".indexOf(type) < 0) {
+        boolean expected = !commandsOnly || type == (depth == 0 ? '*' : '$');
+        if (!expected || "+-:$*".indexOf(type) < 0) {
             throw new RespException(depth == 0 ? "expected '*'" : "expected '$'");
         }
-        at++;
-        String line = line(type == '+' || type == '-' ? LONGEST_LINE : LONGEST_NUMBER);
+        position++;
+        String line = readLine(type == '+' || type == '-' ? MAX_LINE_LENGTH : MAX_NUMBER_LENGTH);
         if (line == null) {
             return null;
         }
         return switch (type) {
             case '+' -> new Resp.Simple(line);
             case '-' -> new Resp.Failure(line);
-            case ':' -> new Resp.Whole(number(line, Long.MIN_VALUE, Long.MAX_VALUE));
-            case '$' -> bulk((int) number(line, commandsOnly ? 0 : -1, LONGEST_BULK));
-            default -> many((int) number(line, commandsOnly ? 1 : -1, MOST_ITEMS), depth);
+            case ':' -> new Resp.Whole(parseNumber(line, Long.MIN_VALUE, Long.MAX_VALUE));
+            case '$' -> parseBulk((int) parseNumber(line, commandsOnly ? 0 : -1, MAX_BULK_LENGTH));
+            default -> parseArray((int) parseNumber(line, commandsOnly ? 1 : -1, MAX_ARRAY_LENGTH), depth);
         };
     }
 
-    private Resp bulk(int length) throws RespException {
+    private Resp parseBulk(int length) throws RespException {
         if (length < 0) {
             return new Resp.Bulk(null);
         }
-        if (to - at < length + 2) {
+        if (end - position < length + 2) {
             return null;
         }
-        if (bytes[at + length] != '\r' || bytes[at + length + 1] != '\n') {
+        if (buffer[position + length] != '\r' || buffer[position + length + 1] != '\n') {
             throw new RespException("bulk string without its end");
         }
-        byte[] content = Arrays.copyOfRange(bytes, at, at + length);
-        at += length + 2;
+        byte[] content = Arrays.copyOfRange(buffer, position, position + length);
+        position += length + 2;
         return new Resp.Bulk(content);
     }
 
-    private Resp many(int count, int depth) throws RespException {
+    private Resp parseArray(int count, int depth) throws RespException {
         if (count < 0) {
             return new Resp.Many(null);
         }
-        if (depth >= DEEPEST) {
+        if (depth >= MAX_ARRAY_DEPTH) {
             throw new RespException("arrays too deep");
         }
         List<Resp> items = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
-            Resp item = value(depth + 1);
+            Resp item = parseValue(depth + 1);
             if (item == null) {
                 return null;
             }
@@ -134,17 +134,17 @@
         return new Resp.Many(items);
     }
 
-    private String line(int longest) throws RespException {
-        for (int i = at; i < to; i++) {
-            if (bytes[i] == '\n') {
-                if (i == at || bytes[i - 1] != '\r') {
+    private String readLine(int maxLength) throws RespException {
+        for (int i = position; i < end; i++) {
+            if (buffer[i] == '\n') {
+                if (i == position || buffer[i - 1] != '\r') {
                     throw new RespException("line without its end");
                 }
-                String line = new String(bytes, at, i - 1 - at, StandardCharsets.UTF_8);
-                at = i + 1;
+                String line = new String(buffer, position, i - 1 - position, StandardCharsets.UTF_8);
+                position = i + 1;
                 return line;
             }
-            if (i - at > longest) {
+            if (i - position > maxLength) {
                 throw new RespException("line too long");
             }
         }
@@ -152,20 +152,20 @@
     }
 
     /** Figures in ASCII with a minus at most: what else Java reads as a number is no length here. */
-    private static long number(String line, long least, long most) throws RespException {
-        boolean figures = !line.isEmpty() && !line.equals("-");
+    private static long parseNumber(String line, long min, long max) throws RespException {
+        boolean wellFormed = !line.isEmpty() && !line.equals("-");
         for (int i = 0; i < line.length(); i++) {
             char c = line.charAt(i);
-            figures &= c >= '0' && c <= '9' || c == '-' && i == 0;
+            wellFormed &= c >= '0' && c <= '9' || c == '-' && i == 0;
         }
         try {
-            long n = figures ? Long.parseLong(line) : Long.MAX_VALUE;
-            if (figures && n >= least && n <= most) {
-                return n;
+            long value = wellFormed ? Long.parseLong(line) : Long.MAX_VALUE;
+            if (wellFormed && value >= min && value <= max) {
+                return value;
             }
         } catch (NumberFormatException e) {
             throw new RespException("length out of range");
         }
-        throw new RespException(figures ? "length out of range" : "not a number");
+        throw new RespException(wellFormed ? "length out of range" : "not a number");
     }
 }
--- a/balancer/src/main/java/baymoor/resp/RespWriter.java
+++ b/balancer/src/main/java/baymoor/resp/RespWriter.java
@@ -6,47 +6,47 @@
 /** Encodes RESP2. */
 public final class RespWriter {
 
-    private static final byte[] END = {'\r', '\n'};
+    private static final byte[] CRLF = {'\r', '\n'};
 
     private RespWriter() {}
 
     /** A command: an array of bulk strings. */
-    public static byte[] command(byte[]... words) {
+    public static byte[] command(byte[]... arguments) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        out.writeBytes(ascii("*" + words.length + "\r\n"));
-        for (byte[] word : words) {
-            out.writeBytes(bulk(word));
+        out.writeBytes(ascii("*" + arguments.length + "\r\n"));
+        for (byte[] argument : arguments) {
+            out.writeBytes(bulk(argument));
         }
         return out.toByteArray();
     }
 
     /** A bulk string. */
     public static byte[] bulk(byte[] content) {
-        byte[] head = ascii("$" + content.length + "\r\n");
-        byte[] all = new byte[head.length + content.length + END.length];
-        System.arraycopy(head, 0, all, 0, head.length);
-        System.arraycopy(content, 0, all, head.length, content.length);
-        System.arraycopy(END, 0, all, head.length + content.length, END.length);
-        return all;
+        byte[] header = ascii("$" + content.length + "\r\n");
+        byte[] encoded = new byte[header.length + content.length + CRLF.length];
+        System.arraycopy(header, 0, encoded, 0, header.length);
+        System.arraycopy(content, 0, encoded, header.length, content.length);
+        System.arraycopy(CRLF, 0, encoded, header.length + content.length, CRLF.length);
+        return encoded;
     }
 
     /** The same again and again. */
-    public static byte[] times(byte[] content, int count) {
-        byte[] all = new byte[content.length * count];
+    public static byte[] repeat(byte[] content, int count) {
+        byte[] encoded = new byte[content.length * count];
         for (int i = 0; i < count; i++) {
-            System.arraycopy(content, 0, all, i * content.length, content.length);
+            System.arraycopy(content, 0, encoded, i * content.length, content.length);
         }
-        return all;
+        return encoded;
     }
 
     /** A simple string; line ends in it become blanks. */
     public static byte[] simple(String text) {
-        return ascii("+" + oneLine(text) + "\r\n");
+        return ascii("+" + replaceLineBreaks(text) + "\r\n");
     }
 
     /** An error; line ends in it become blanks. */
     public static byte[] error(String text) {
-        return ascii("-" + oneLine(text) + "\r\n");
+        return ascii("-" + replaceLineBreaks(text) + "\r\n");
     }
 
     /** The bytes of a text that is written into a command or an answer. */
@@ -54,7 +54,7 @@
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
-    private static String oneLine(String text) {
+    private static String replaceLineBreaks(String text) {
         return text.replace('\r', ' ').replace('\n', ' ');
     }
 }
