--- a/balancer/src/main/java/baymoor/north/Answer.java
+++ b/balancer/src/main/java/baymoor/north/Answer.java
@@ -1,14 +1,14 @@
 package baymoor.north;
 
-/** The one final answer of a request. */
+/** The final response to a request. */
 public sealed interface Answer {
 
-    /** The value or receipt that a south side host made for this request. */
+    /** The request was served; {@code value} is the value or receipt that a host returned. */
     record Served(byte[] value) implements Answer {}
 
-    /** A back-off answer: trying again is harmless, after the given time where that is not 0. */
+    /** The request was rejected and may be retried, after the given delay if that is not 0. */
     record BackOff(long afterMicros) implements Answer {}
 
-    /** Failed, without a promise. */
+    /** The request failed; whether it had an effect is unknown. */
     record Failed() implements Answer {}
 }
--- a/balancer/src/main/java/baymoor/north/North.java
+++ b/balancer/src/main/java/baymoor/north/North.java
@@ -14,22 +14,25 @@
 import java.util.Set;
 import java.util.function.Supplier;
 
-/** The clients' side: what each is owed, by when, and that it gets it once. */
+/**
+ * Serves the clients: accepts connections within the limits, tracks the requests that await a response and gives each
+ * exactly one, at the latest shortly after its deadline. Called on the decision thread only.
+ */
 public final class North {
 
-    /** An answer later than this after the deadline would break a rule: then the request fails, whoever slept. */
+    /** A request without a response this long after its deadline fails. */
     private static final long OVERDUE_GRACE_MICROS = 10_000;
 
     private static final long TIMEOUT_CHECK_INTERVAL_MICROS = 250_000;
-    /** Clients hold up to a third of all descriptors, two thirds of the bound here: half of that is room for all. */
+    /** From this share of the connection limit on, each new connection evicts the one idle longest. */
     private static final int IDLE_EVICTION_PERCENT = 30;
 
     private static final long MIN_IDLE_MICROS = 100_000;
-    /** Connections past the bound that are told to come back; a crowd past these is closed unheard. */
+    /** Connections over the limit whose first request is still answered, as busy; any more are closed at once. */
     private static final int MAX_EXCESS_CONNECTIONS = 8;
-    /** Connections that made room and whose clients take their time to end them. */
+    /** Evicted connections that may wait for their clients to close them. */
     private static final int MAX_EVICTED_CONNECTIONS = 8;
-    /** Connections past the bound at the most: those two, and as many whose end is not through yet. */
+    /** Most connections over the limit: excess and evicted ones, and as many excess ones again that are closing. */
     public static final int MOST_BEYOND = 2 * MAX_EXCESS_CONNECTIONS + MAX_EVICTED_CONNECTIONS;
 
     final Time time;
@@ -43,20 +46,22 @@
     private long pendingValueBytes;
     private final Map<Long, PendingReply> pendingByTicket = new HashMap<>();
     private final Set<RespClient> clients = new LinkedHashSet<>();
-    /** Those that were told to make room and whose end is not through. */
+    /** Evicted connections that are not closed yet. */
     private final Set<RespClient> evicted = new LinkedHashSet<>();
-    /** Connections without anything owed, in the order in which the last answer left. */
+    /** Connections without pending replies, in the order in which their last reply was sent. */
     private final Set<RespClient> idleClients = new LinkedHashSet<>();
 
     private long lastTicket;
     private boolean draining;
 
     /**
-     * @param requestClasses     names of the request classes
-     * @param maxClients past so many connections those idle longest are closed
-     * @param maxPendingRequests    past so many open requests the next ones are turned away
-     * @param maxValueBytes past so many bytes of the values of open writes the next ones are turned away
-     * @param counterReport      the counters as text
+     * Creates the clients' side and starts its periodic check of timeouts.
+     *
+     * @param requestClasses     names of the request classes that requests may carry
+     * @param maxClients         connections above which a new one evicts an idle one or is rejected
+     * @param maxPendingRequests open requests above which new ones are rejected as busy
+     * @param maxValueBytes      total size of the values of open writes above which new ones are rejected as busy
+     * @param counterReport      returns the counters as text, for the INFO command
      */
     public North(
             Time time,
@@ -90,14 +95,15 @@
         return all;
     }
 
-    /** What is owed to one command of a client, in whose order the answers go out. */
+    /** A place in a client's reply queue, for one command or for a run of equal busy replies. */
     static final class PendingReply {
         final RespClient client;
         final long ticket;
         final int valueBytes;
         Time.Timer deadlineTimer;
+        /** The encoded reply, null until there is one. */
         byte[] reply;
-        /** How many commands in a row it answers. */
+
         int repeatCount = 1;
 
         PendingReply(RespClient client, long ticket, int valueBytes) {
@@ -107,7 +113,7 @@
         }
     }
 
-    /** A client has connected. */
+    /** Accepts a client's connection and returns the listener for its events. */
     public LinkEvents client(Link link) {
         counters.add(Count.CLIENTS_ACCEPTED);
         RespClient client = new RespClient(this, link);
@@ -115,27 +121,26 @@
         if (clients.size() > maxClients) {
             enforceConnectionLimit(client);
         } else if (clients.size() > maxClients * IDLE_EVICTION_PERCENT / 100) {
-            // Seen: a crowd that asks and stays took all connections that clients may hold, and other clients' requests
-            // found none. One more than there is room for takes the place of the one idle longest, if that rests.
+            // Evicts before the limit is reached: idle clients must not keep others from connecting.
             longestIdle().ifPresent(this::evict);
         }
         return client;
     }
 
-    /** Looks at those that may rest only: among some thousand busy connections the search for one took a sixth of all time. */
+    /** Returns the client idle longest, if it is idle for long enough; searches idle clients only, for speed. */
     private Optional<RespClient> longestIdle() {
         for (RespClient client : idleClients) {
             if (client.hasBeenIdleFor(MIN_IDLE_MICROS)) {
                 return Optional.of(client);
             }
             if (time.now() - client.progressMicros() <= MIN_IDLE_MICROS) {
-                break; // those behind it came to rest later still
+                break; // the clients behind it became idle later
             }
         }
         return Optional.empty();
     }
 
-    /** All that was owed there has left. */
+    /** Moves the client to the end of the idle ones: its last reply has been sent. */
     void markIdle(RespClient client) {
         idleClients.remove(client);
         idleClients.add(client);
@@ -156,8 +161,8 @@
     }
 
     /**
-     * Descriptors are bounded. What never spoke goes first: seen were hundreds of silent connections, for which those
-     * of clients at work would have gone. Then what has been quiet longest, which a client may expect between requests.
+     * Keeps connections within the limit by evicting one: the oldest without any command first, then the one idle
+     * longest. Where none is idle the new connection's first request is rejected, or the connection closed.
      */
     private void enforceConnectionLimit(RespClient newest) {
         clients.stream()
@@ -178,15 +183,12 @@
                 });
     }
 
-    /** Whether a request with this id is still open, or one of its attempts out. */
+    /** Returns whether a request with this id is open, or an attempt of it is still in flight. */
     boolean isIdInUse(String id) {
         return requestHandler.open(id);
     }
 
-    /**
-     * Whether a request is to be turned away before the decisions see it: a crowd of requests, or of large values,
-     * must not take more memory than there is.
-     */
+    /** Returns, and counts, whether the request would exceed the limits on open requests or on their memory. */
     boolean overCapacity(ClientRequest request) {
         boolean exceeded = pendingByTicket.size() >= maxPendingRequests
                 || pendingValueBytes + valueLength(request) > maxValueBytes;
@@ -200,13 +202,14 @@
         return request.write() ? request.value().length : 0;
     }
 
-    /** Used again: it goes to the end of the row of those that may be closed. */
+    /** Makes the client the most recently used one, and revokes its eviction. */
     void markUsed(RespClient client) {
         if (clients.remove(client) || evicted.remove(client)) {
             clients.add(client);
         }
     }
 
+    /** Registers an open request and starts the timer of its deadline. */
     PendingReply register(RespClient client, ClientRequest request) {
         counters.add(Count.REQUESTS);
         PendingReply pending = new PendingReply(client, ++lastTicket, valueLength(request));
@@ -229,13 +232,13 @@
         }
     }
 
-    /** Whether an answer is owed to a client that is still there, as far as its connection knows. */
+    /** Returns whether the request is open and its client still connected, as far as is known. */
     public boolean waits(long ticket) {
         PendingReply pending = pendingByTicket.get(ticket);
         return pending != null && pending.client.isConnected();
     }
 
-    /** Gives the final answer; false if none is owed any more. */
+    /** Sends the request's final response; returns false if the request is not open any more. */
     public boolean answer(long ticket, Answer answer) {
         PendingReply pending = pendingByTicket.remove(ticket);
         if (pending == null) {
@@ -251,6 +254,7 @@
         return true;
     }
 
+    /** Forgets a client and reports those of its requests that are still open as abandoned. */
     void clientDisconnected(RespClient client, Iterable<PendingReply> unanswered) {
         counters.add(Count.CLIENTS_CLOSED);
         clients.remove(client);
@@ -275,8 +279,8 @@
     }
 
     /**
-     * From now on connections are closed as soon as nothing is owed on them. Seen: a connection that had just come up went
-     * with those at rest, while its first request was on the way; it stays for as long as that may take.
+     * Closes idle connections, now and as soon as others become idle. A new connection stays open while its first
+     * request may still be in transit.
      */
     public void drain() {
         draining = true;
@@ -287,17 +291,17 @@
         }
     }
 
-    /** Whether nothing is owed to anyone, and every answer and this side's end have left on each connection. */
+    /** Returns whether no request is open, all replies have been sent and the output of every connection is closed. */
     public boolean quiet() {
         return pendingByTicket.isEmpty() && allClients().stream().allMatch(RespClient::isOutputClosed);
     }
 
-    /** Whether no connection is left. */
+    /** Returns whether no connection is left. */
     public boolean empty() {
         return clients.isEmpty() && evicted.isEmpty();
     }
 
-    /** Fails all that is owed and ends every connection, since the program ends. */
+    /** Fails all open requests and closes every connection; for shutdown. */
     public void failAll() {
         for (Long ticket : List.copyOf(pendingByTicket.keySet())) {
             answer(ticket, new Answer.Failed());
--- a/balancer/src/main/java/baymoor/north/RequestHandler.java
+++ b/balancer/src/main/java/baymoor/north/RequestHandler.java
@@ -1,13 +1,13 @@
 package baymoor.north;
 
-/** Takes requests in. Each has a ticket, unique for the life of the program, by which it is answered. */
+/** Handles clients' requests. Each has a ticket, unique while the process runs, by which it is answered. */
 public interface RequestHandler {
-    /** A request has come in; its answer is given by the ticket. */
+    /** Handles a new request; its response is sent by {@link North#answer} with the ticket. */
     void taken(long ticket, ClientRequest request);
 
-    /** Whether a request with this id, which its client chose, is open or still out at a host. */
+    /** Returns whether a request with this client-chosen id is open, or an attempt of it is still in flight. */
     boolean open(String id);
 
-    /** No answer is owed any more: the client has left, or its time ran out. */
+    /** Handles a request that no longer awaits a response: its client has disconnected, or its deadline has passed. */
     void gone(long ticket);
 }
--- a/balancer/src/main/java/baymoor/north/RequestParser.java
+++ b/balancer/src/main/java/baymoor/north/RequestParser.java
@@ -6,19 +6,19 @@
 import java.util.Set;
 import java.util.regex.Pattern;
 
-/** Reads the words of a request: key, id, and the list of names and values. */
+/** Parses the arguments of a request command: the key, the id, and the list of comma-separated name=value pairs. */
 final class RequestParser {
 
     private static final int MAX_WORD_LENGTH = 256;
     private static final int MAX_LIST_LENGTH = 2048;
-    /** What is written as a number elsewhere too; Java alone also reads 0x1p3 and 480d as numbers. */
+    /** A plain decimal number; Double.parseDouble alone would also accept forms like 0x1p3 and 480d. */
     private static final Pattern NUMBER = Pattern.compile("-?[0-9]{1,18}(\\.[0-9]{1,18})?([eE][-+]?[0-9]{1,3})?");
 
     private static final double MAX_TIMEOUT_MILLIS = 3_600_000;
-    /** The client's clock started when it sent, its answer has to travel too: both ways' time at the least. */
+    /** Subtracted from deadlines, since a client's timeout covers the network's delay in both directions. */
     private static final long MIN_ROUND_TRIP_MICROS = 2_000;
 
-    /** A request that can't be taken; the text goes to the client. */
+    /** Thrown for an invalid request; the message is sent to the client. */
     static final class InvalidRequestException extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -29,6 +29,15 @@
 
     private RequestParser() {}
 
+    /**
+     * Parses a request.
+     *
+     * @param list           the names and values, of which {@code c} (class) and {@code d} (timeout in ms) are required
+     * @param value          the value of a write, null for a read
+     * @param requestClasses the names of the known classes
+     * @param receivedMicros the time from which the request's timeout counts
+     * @throws InvalidRequestException if an argument is malformed or out of range
+     */
     static ClientRequest parse(
             byte[] key, byte[] id, byte[] list, byte[] value, Set<String> requestClasses, long receivedMicros)
             throws InvalidRequestException {
@@ -92,7 +101,7 @@
         return text;
     }
 
-    /** Guards against line ends that would become headers of their own at the origin. */
+    /** Accepts printable ASCII only, so that no line break can inject a header into a request to the origin. */
     private static String parsePrintable(byte[] bytes, int maxLength, String field) throws InvalidRequestException {
         boolean valid = bytes.length > 0 && bytes.length <= maxLength;
         for (byte b : bytes) {
--- a/balancer/src/main/java/baymoor/north/RespClient.java
+++ b/balancer/src/main/java/baymoor/north/RespClient.java
@@ -14,29 +14,29 @@
 import java.util.List;
 import java.util.Locale;
 
-/** One client's connection in RESP2: reads commands, and answers them in their order. */
+/**
+ * Serves one client connection in RESP2: parses pipelined commands, replies in their order and enforces the
+ * connection's timeouts and limits. Called on the decision thread only.
+ */
 final class RespClient implements LinkEvents {
 
-    /**
-     * Seen: connections that say nothing, or half a command, and stay. What has not sent its first whole command by
-     * now, or has begun one and not ended it for so long, is closed.
-     */
+    /** Longest wait for the first command, and for the rest of a command that has been received in part. */
     private static final long COMMAND_MICROS = 1_500_000;
-    /** A client's first request comes right behind its connection; one silent for longer is the first to go. */
+    /** A new connection without a command is evicted first, but only once it is older than this. */
     private static final long SILENT_MICROS = 300_000;
-    /** Between requests a connection may go after 2 s; while there is room it stays longer. */
+
     private static final long CROWDED_IDLE_MICROS = 2_000_000;
 
     private static final long IDLE_MICROS = 15_000_000;
-    /** Who takes nothing of its answers for so long, or does not end a connection that is over, is cut off. */
+    /** Longest time without progress while written replies have not left. */
     private static final long STUCK_MICROS = 5_000_000;
-
+    /** Longest time between closing this side of the connection and the client closing its own. */
     private static final long PARTING_MICROS = 1_000_000;
-    /** Past so many answers that are owed here, commands are turned away unread, with the first of that row of refusals. */
+    /** With this many replies pending, further commands are rejected as busy without being parsed. */
     private static final int MOST_OWED = 128;
-
+    /** With this many writes unsent, no more input is read; reading resumes below half of it. */
     private static final int MOST_UNWRITTEN = 16;
-    /** Refusals written at once. */
+
     private static final int MOST_TOGETHER = 1024;
 
     private static final long COME_BACK_MICROS = 1_000_000;
@@ -50,23 +50,24 @@
     private final RespReader reader = RespReader.ofCommands();
     private final Deque<PendingReply> row = new ArrayDeque<>();
     private int unwritten;
+    /** Accepted over the connection limit: its first request is rejected and the connection closed. */
     private boolean extra;
-    /** Nothing more is read: it said what can't be read, or this side's end has gone out. */
+    /** Input is ignored: after a protocol error, on shutdown, or once the output is closed. */
     private boolean stopped;
-    /** It is to end unless something comes in before that; and it has ended on this side. */
+    /** Closing of the output has been requested; input that arrives before it takes effect revokes that. */
     private boolean leaving;
 
     private boolean finished;
-    /** Its end has been dealt with, or is next. */
+    /** The disconnect has been handled, or its handling is scheduled. */
     private boolean left;
 
     private boolean paused;
     private boolean spoken;
-    /** When this connection last got on: came up, brought a whole command, sent an answer, or was ended. */
+    /** When the connection was opened, or last received a whole command, sent a reply or was asked to close. */
     private long progressMicros;
-    /** Since when it lacks the end of a command. */
+    /** Since when the rest of a command has been missing. */
     private long partMicros;
-    /** When the last bytes may have come in: clients count their time from before that. */
+    /** Earliest time at which the last input may have arrived; deadlines count from it. */
     private long cameMicros;
 
     RespClient(North north, Link link) {
@@ -81,10 +82,9 @@
     }
 
     /**
-     * Whether the client is still connected. The connection may be over though its end is still queued behind other events;
-     * once that is noticed here, the end is dealt with right after the present event. Danger: seen was that a connection to a
-     * router came up in between, each attempt of a client that had left ended as not sent, and after five of them, all before
-     * the client's end was told, the request counted as refused and not as gone.
+     * Returns whether the client is still connected. A disconnect whose event is still queued counts too, and is handled
+     * right after the current event: otherwise the attempts of a departed client would fail as not sent, and its
+     * request would count as refused before the disconnect is reported.
      */
     boolean isConnected() {
         if (!left && link.over()) {
@@ -94,12 +94,11 @@
         return !left;
     }
 
-    /** Since when nothing has moved here. */
     long progressMicros() {
         return progressMicros;
     }
 
-    /** Whether it has been served and wants nothing for so long. */
+    /** Returns whether all commands have been answered and the connection has been idle for longer than this time. */
     boolean hasBeenIdleFor(long micros) {
         return spoken
                 && !stopped
@@ -109,17 +108,17 @@
                 && north.time.now() - progressMicros > micros;
     }
 
-    /** Whether nothing whole ever came, for longer than a client's first request is on its way. */
+    /** Returns whether the first command is overdue. */
     boolean isSilent() {
         return !spoken && !stopped && !leaving && !link.unread() && north.time.now() - progressMicros > SILENT_MICROS;
     }
 
-    /** Whether its first request may still be on the way: no client opens a connection for nothing. */
+    /** Returns whether the first command may still be in transit. */
     boolean awaitsFirstCommand() {
         return !spoken && !stopped && !leaving && !isSilent();
     }
 
-    /** Closes the connection if it has waited too long for what does not come. */
+    /** Closes the connection if one of its timeouts has expired. {@code crowded} shortens the idle timeout. */
     void checkTimeouts(boolean crowded) {
         long now = north.time.now();
         boolean half = !stopped && !leaving && !paused && !link.unread() && (!spoken || reader.pending());
@@ -142,21 +141,22 @@
         }
     }
 
+    /** Returns whether no reply is pending and no input is unprocessed. */
     boolean isIdle() {
         return row.isEmpty() && !reader.pending() && !link.unread();
     }
 
-    /** Whether every answer has left, and then this side's end. */
+    /** Returns whether all replies have been sent and the output is closed. */
     boolean isOutputClosed() {
         return finished;
     }
 
-    /** There are too many connections, all of them busy: the first request here is turned away, then it is closed. */
+    /** Marks the connection as over the limit: its first request is rejected as busy, then it is closed. */
     void rejectFirstRequest() {
         extra = true;
     }
 
-    /** Ends this connection once all answers have left, unless a command comes in before that. */
+    /** Closes the output once all replies have been sent, unless input arrives before that. */
     void closeAfterReplies() {
         if (!leaving) {
             leaving = true;
@@ -166,19 +166,19 @@
         }
     }
 
-    /** Ends it in any case: the program does. */
+    /** Closes the output once all replies have been sent, whatever arrives; for shutdown. */
     void closeUnconditionally() {
         stop();
         leaving = false;
         closeAfterReplies();
     }
 
-    /** At once, where it has had its time to end. */
+    /** Closes the connection immediately and drops unsent replies. */
     void closeNow() {
         link.close();
     }
 
-    /** Reads nothing more: seen was a client that sends 60 MB on, whatever it is told. */
+    /** Ignores further input and stops reading from the socket. */
     private void stop() {
         if (!stopped) {
             stopped = true;
@@ -187,7 +187,7 @@
         }
     }
 
-    /** Answers once more, and closes once that has left. */
+    /** Sends a last reply and closes the connection behind it. */
     private void end(byte[] reply) {
         stop();
         atOnce(reply);
@@ -195,7 +195,7 @@
 
     @Override
     public void opened() {
-        // A client speaks first.
+        // The client sends first.
     }
 
     @Override
@@ -206,12 +206,11 @@
 
     @Override
     public void received(byte[] bytes) {
-        // Danger: what a client that has left sent before that would still be sent on, after a hold-up long after it
-        // left.
+        // Guards against dispatching requests that a client sent before it disconnected.
         if (stopped || link.over()) {
             return;
         }
-        leaving = false; // this came in before the end could go out
+        leaving = false; // the input preceded the closing of the output
         north.markBusy(this);
         north.markUsed(this);
         partMicros = reader.pending() ? partMicros : north.time.now();
@@ -251,9 +250,9 @@
     }
 
     /**
-     * Guards against a client that sends on and on but reads nothing: its answers would fill the memory. Danger: while
-     * nothing is read its end isn't seen either, and what it wants is sent on though it has left. So this turns on answers
-     * that do not leave, as theirs is an end that is seen, and not on the number of commands that wait.
+     * Returns whether too many writes are unsent, so that a client that reads no replies can't exhaust the memory.
+     * Unanswered commands don't count: while reading is paused a disconnect goes unnoticed, and the client's requests
+     * would be dispatched after it.
      */
     private boolean full() {
         return unwritten >= MOST_UNWRITTEN;
@@ -299,8 +298,7 @@
             return;
         }
         if (north.isIdInUse(request.id())) {
-            // Seen: the id of another client's request that is open. One of the two would get the other's answer.
-            bad("id is in use");
+            bad("id is in use"); // one of the two requests would get the other's reply
             return;
         }
         if (extra || north.overCapacity(request)) {
@@ -312,7 +310,7 @@
         north.dispatch(pending, request);
     }
 
-    /** One more refusal; a row of them at the end is kept as one with its number, as a client may send on without end. */
+    /** Enqueues a busy reply. Consecutive ones share an entry with a count, so that their number takes no memory. */
     private void turnAway() {
         PendingReply last = row.peekLast();
         if (last != null && last.reply == TURNED_AWAY) {
@@ -370,7 +368,7 @@
         if (row.isEmpty()) {
             resume();
         } else {
-            flush(); // what was held back until earlier answers had left
+            flush(); // replies held back until earlier ones were sent
         }
     }
 
@@ -388,7 +386,7 @@
         }
     }
 
-    /** Nothing is owed here any more. */
+    /** Drops the pending replies and reports the disconnect. */
     private void forget() {
         stopped = true;
         north.clientDisconnected(this, List.copyOf(row));
