--- a/balancer/src/main/java/baymoor/north/RespClient.java
+++ b/balancer/src/main/java/baymoor/north/RespClient.java
@@ -26,19 +26,17 @@
     private static final long SILENT_MICROS = 300_000;
 
     private static final long CROWDED_IDLE_MICROS = 2_000_000;
-
     private static final long IDLE_MICROS = 15_000_000;
     /** Longest time without progress while written replies have not left. */
     private static final long STUCK_MICROS = 5_000_000;
     /** Longest time between closing this side of the connection and the client closing its own. */
     private static final long PARTING_MICROS = 1_000_000;
-    /** With this many replies pending, further commands are rejected as busy without being parsed. */
+    /** With this many replies pending, further commands are rejected as busy. */
     private static final int MOST_OWED = 128;
     /** With this many writes unsent, no more input is read; reading resumes below half of it. */
     private static final int MOST_UNWRITTEN = 16;
 
     private static final int MOST_TOGETHER = 1024;
-
     private static final long COME_BACK_MICROS = 1_000_000;
     private static final int GET_WORDS = 4;
     private static final int SET_WORDS = 5;
@@ -82,9 +80,8 @@
     }
 
     /**
-     * Returns whether the client is still connected. A disconnect whose event is still queued counts too, and is handled
-     * right after the current event: otherwise the attempts of a departed client would fail as not sent, and its
-     * request would count as refused before the disconnect is reported.
+     * Returns whether the client is still connected. A disconnect whose event is queued counts too, and is handled after
+     * the current event: the request must not be rejected, for want of a sent attempt, before it is reported abandoned.
      */
     boolean isConnected() {
         if (!left && link.over()) {
@@ -251,8 +248,7 @@
 
     /**
      * Returns whether too many writes are unsent, so that a client that reads no replies can't exhaust the memory.
-     * Unanswered commands don't count: while reading is paused a disconnect goes unnoticed, and the client's requests
-     * would be dispatched after it.
+     * Unanswered commands don't count, since a disconnect goes unnoticed while reading is paused.
      */
     private boolean full() {
         return unwritten >= MOST_UNWRITTEN;
