--- a/balancer/src/main/java/baymoor/north/RespClient.java
+++ b/balancer/src/main/java/baymoor/north/RespClient.java
@@ -21,62 +21,62 @@
 final class RespClient implements LinkEvents {
 
     /** Longest wait for the first command, and for the rest of a command that has been received in part. */
-    private static final long COMMAND_MICROS = 1_500_000;
+    private static final long COMMAND_TIMEOUT_MICROS = 1_500_000;
     /** A new connection without a command is evicted first, but only once it is older than this. */
-    private static final long SILENT_MICROS = 300_000;
+    private static final long FIRST_COMMAND_GRACE_MICROS = 300_000;
 
-    private static final long CROWDED_IDLE_MICROS = 2_000_000;
-    private static final long IDLE_MICROS = 15_000_000;
+    private static final long CROWDED_IDLE_TIMEOUT_MICROS = 2_000_000;
+    private static final long IDLE_TIMEOUT_MICROS = 15_000_000;
     /** Longest time without progress while written replies have not left. */
-    private static final long STUCK_MICROS = 5_000_000;
+    private static final long WRITE_TIMEOUT_MICROS = 5_000_000;
     /** Longest time between closing this side of the connection and the client closing its own. */
-    private static final long PARTING_MICROS = 1_000_000;
+    private static final long CLOSE_TIMEOUT_MICROS = 1_000_000;
     /** With this many replies pending, further commands are rejected as busy. */
-    private static final int MOST_OWED = 128;
+    private static final int MAX_PENDING_REPLIES = 128;
     /** With this many writes unsent, no more input is read; reading resumes below half of it. */
-    private static final int MOST_UNWRITTEN = 16;
+    private static final int MAX_UNSENT_WRITES = 16;
 
-    private static final int MOST_TOGETHER = 1024;
-    private static final long COME_BACK_MICROS = 1_000_000;
-    private static final int GET_WORDS = 4;
-    private static final int SET_WORDS = 5;
-    private static final int LONGEST_NAME = 32;
-    private static final byte[] TURNED_AWAY = RespWriter.error(busy(COME_BACK_MICROS));
+    private static final int MAX_COALESCED_REJECTIONS = 1024;
+    private static final long RETRY_AFTER_MICROS = 1_000_000;
+    private static final int GET_ARITY = 4;
+    private static final int SET_ARITY = 5;
+    private static final int MAX_ECHOED_NAME = 32;
+    private static final byte[] BUSY_REPLY = RespWriter.error(busyError(RETRY_AFTER_MICROS));
 
     private final North north;
     private final Link link;
     private final RespReader reader = RespReader.ofCommands();
-    private final Deque<PendingReply> row = new ArrayDeque<>();
-    private int unwritten;
+    private final Deque<PendingReply> replies = new ArrayDeque<>();
+    private int unsentWrites;
     /** Accepted over the connection limit: its first request is rejected and the connection closed. */
-    private boolean extra;
+    private boolean overLimit;
     /** Input is ignored: after a protocol error, on shutdown, or once the output is closed. */
-    private boolean stopped;
+    private boolean inputStopped;
     /** Closing of the output has been requested; input that arrives before it takes effect revokes that. */
-    private boolean leaving;
+    private boolean closing;
 
-    private boolean finished;
+    private boolean outputClosed;
     /** The disconnect has been handled, or its handling is scheduled. */
-    private boolean left;
+    private boolean disconnected;
 
-    private boolean paused;
-    private boolean spoken;
+    private boolean readingPaused;
+    private boolean commandReceived;
     /** When the connection was opened, or last received a whole command, sent a reply or was asked to close. */
     private long progressMicros;
     /** Since when the rest of a command has been missing. */
-    private long partMicros;
+    private long commandStartMicros;
     /** Earliest time at which the last input may have arrived; deadlines count from it. */
-    private long cameMicros;
+    private long receivedMicros;
 
     RespClient(North north, Link link) {
         this.north = north;
         this.link = link;
         progressMicros = north.time.now();
-        partMicros = progressMicros;
+        commandStartMicros = progressMicros;
     }
 
     boolean hasSentCommand() {
-        return spoken;
+        return commandReceived;
     }
 
     /**
@@ -84,11 +84,11 @@
      * the current event: the request must not be rejected, for want of a sent attempt, before it is reported abandoned.
      */
     boolean isConnected() {
-        if (!left && link.over()) {
-            left = true;
-            north.time.after(0, this::forget);
+        if (!disconnected && link.over()) {
+            disconnected = true;
+            north.time.after(0, this::abandonPending);
         }
-        return !left;
+        return !disconnected;
     }
 
     long progressMicros() {
@@ -97,42 +97,47 @@
 
     /** Returns whether all commands have been answered and the connection has been idle for longer than this time. */
     boolean hasBeenIdleFor(long micros) {
-        return spoken
-                && !stopped
-                && !leaving
+        return commandReceived
+                && !inputStopped
+                && !closing
                 && isIdle()
-                && unwritten == 0
+                && unsentWrites == 0
                 && north.time.now() - progressMicros > micros;
     }
 
     /** Returns whether the first command is overdue. */
     boolean isSilent() {
-        return !spoken && !stopped && !leaving && !link.unread() && north.time.now() - progressMicros > SILENT_MICROS;
+        return !commandReceived
+                && !inputStopped
+                && !closing
+                && !link.unread()
+                && north.time.now() - progressMicros > FIRST_COMMAND_GRACE_MICROS;
     }
 
     /** Returns whether the first command may still be in transit. */
     boolean awaitsFirstCommand() {
-        return !spoken && !stopped && !leaving && !isSilent();
+        return !commandReceived && !inputStopped && !closing && !isSilent();
     }
 
     /** Closes the connection if one of its timeouts has expired. {@code crowded} shortens the idle timeout. */
     void checkTimeouts(boolean crowded) {
         long now = north.time.now();
-        boolean half = !stopped && !leaving && !paused && !link.unread() && (!spoken || reader.pending());
-        if (stopped || leaving
-                ? row.isEmpty() && now - progressMicros > PARTING_MICROS
-                : unwritten > 0 && now - progressMicros > STUCK_MICROS) {
+        boolean awaitingCommand =
+                !inputStopped && !closing && !readingPaused && !link.unread() && (!commandReceived || reader.pending());
+        if (inputStopped || closing
+                ? replies.isEmpty() && now - progressMicros > CLOSE_TIMEOUT_MICROS
+                : unsentWrites > 0 && now - progressMicros > WRITE_TIMEOUT_MICROS) {
             north.counters.add(Count.CLIENTS_STUCK);
             link.close();
-        } else if (half && now - partMicros > COMMAND_MICROS) {
+        } else if (awaitingCommand && now - commandStartMicros > COMMAND_TIMEOUT_MICROS) {
             north.counters.add(Count.CLIENTS_SILENT);
-            end(RespWriter.error("ERR no whole command in time"));
+            replyAndClose(RespWriter.error("ERR no whole command in time"));
         } else if (north.isDraining() && isIdle() && isSilent()) {
             closeAfterReplies();
         } else if (isIdle()
-                && !stopped
-                && !leaving
-                && now - progressMicros > (crowded ? CROWDED_IDLE_MICROS : IDLE_MICROS)) {
+                && !inputStopped
+                && !closing
+                && now - progressMicros > (crowded ? CROWDED_IDLE_TIMEOUT_MICROS : IDLE_TIMEOUT_MICROS)) {
             north.counters.add(Count.CLIENTS_IDLE);
             closeAfterReplies();
         }
@@ -140,33 +145,33 @@
 
     /** Returns whether no reply is pending and no input is unprocessed. */
     boolean isIdle() {
-        return row.isEmpty() && !reader.pending() && !link.unread();
+        return replies.isEmpty() && !reader.pending() && !link.unread();
     }
 
     /** Returns whether all replies have been sent and the output is closed. */
     boolean isOutputClosed() {
-        return finished;
+        return outputClosed;
     }
 
     /** Marks the connection as over the limit: its first request is rejected as busy, then it is closed. */
     void rejectFirstRequest() {
-        extra = true;
+        overLimit = true;
     }
 
     /** Closes the output once all replies have been sent, unless input arrives before that. */
     void closeAfterReplies() {
-        if (!leaving) {
-            leaving = true;
+        if (!closing) {
+            closing = true;
             north.markBusy(this);
             progressMicros = north.time.now();
-            link.finish(stopped);
+            link.finish(inputStopped);
         }
     }
 
     /** Closes the output once all replies have been sent, whatever arrives; for shutdown. */
     void closeUnconditionally() {
-        stop();
-        leaving = false;
+        stopReading();
+        closing = false;
         closeAfterReplies();
     }
 
@@ -176,18 +181,18 @@
     }
 
     /** Ignores further input and stops reading from the socket. */
-    private void stop() {
-        if (!stopped) {
-            stopped = true;
+    private void stopReading() {
+        if (!inputStopped) {
+            inputStopped = true;
             north.markBusy(this);
             link.reading(false);
         }
     }
 
     /** Sends a last reply and closes the connection behind it. */
-    private void end(byte[] reply) {
-        stop();
-        atOnce(reply);
+    private void replyAndClose(byte[] reply) {
+        stopReading();
+        enqueueReply(reply);
     }
 
     @Override
@@ -197,52 +202,52 @@
 
     @Override
     public void finished() {
-        finished = true;
-        stopped = true;
+        outputClosed = true;
+        inputStopped = true;
     }
 
     @Override
     public void received(byte[] bytes) {
         // Guards against dispatching requests that a client sent before it disconnected.
-        if (stopped || link.over()) {
+        if (inputStopped || link.over()) {
             return;
         }
-        leaving = false; // the input preceded the closing of the output
+        closing = false; // the input preceded the closing of the output
         north.markBusy(this);
         north.markUsed(this);
-        partMicros = reader.pending() ? partMicros : north.time.now();
-        cameMicros = north.time.came();
+        commandStartMicros = reader.pending() ? commandStartMicros : north.time.now();
+        receivedMicros = north.time.came();
         reader.feed(bytes);
-        readOn();
+        processCommands();
     }
 
-    private void readOn() {
+    private void processCommands() {
         try {
-            while (!stopped && !full()) {
+            while (!inputStopped && !writeBacklogFull()) {
                 Resp command = reader.next();
                 if (command == null) {
                     break;
                 }
-                spoken = true;
+                commandReceived = true;
                 progressMicros = north.time.now();
-                partMicros = progressMicros;
-                if (row.size() >= MOST_OWED) {
+                commandStartMicros = progressMicros;
+                if (replies.size() >= MAX_PENDING_REPLIES) {
                     north.counters.add(Count.TURNED_AWAY);
-                    turnAway();
+                    rejectBusy();
                     continue;
                 }
-                take(((Resp.Many) command)
+                execute(((Resp.Many) command)
                         .items().stream()
-                                .map(word -> ((Resp.Bulk) word).bytes())
+                                .map(argument -> ((Resp.Bulk) argument).bytes())
                                 .toList());
             }
         } catch (RespException e) {
             north.counters.add(Count.COMMANDS_BAD);
-            end(RespWriter.error("ERR Protocol error: " + e.getMessage()));
+            replyAndClose(RespWriter.error("ERR Protocol error: " + e.getMessage()));
         }
-        if (!stopped && full() != paused) {
-            paused = !paused;
-            link.reading(!paused);
+        if (!inputStopped && writeBacklogFull() != readingPaused) {
+            readingPaused = !readingPaused;
+            link.reading(!readingPaused);
         }
     }
 
@@ -250,142 +255,144 @@
      * Returns whether too many writes are unsent, so that a client that reads no replies can't exhaust the memory.
      * Unanswered commands don't count, since a disconnect goes unnoticed while reading is paused.
      */
-    private boolean full() {
-        return unwritten >= MOST_UNWRITTEN;
+    private boolean writeBacklogFull() {
+        return unsentWrites >= MAX_UNSENT_WRITES;
     }
 
-    private void take(List<byte[]> words) {
-        String name = new String(words.get(0), StandardCharsets.ISO_8859_1).toUpperCase(Locale.ROOT);
+    private void execute(List<byte[]> arguments) {
+        String name = new String(arguments.get(0), StandardCharsets.ISO_8859_1).toUpperCase(Locale.ROOT);
         switch (name) {
-            case "OBJ.GET" -> request(words, GET_WORDS);
-            case "OBJ.SET" -> request(words, SET_WORDS);
-            case "PING" -> other(words.size() > 1 ? RespWriter.bulk(words.get(1)) : RespWriter.simple("PONG"));
-            case "INFO" -> other(RespWriter.bulk(RespWriter.ascii(north.counterReport.get())));
-            case "CLIENT", "SELECT" -> other(RespWriter.simple("OK"));
+            case "OBJ.GET" -> handleRequest(arguments, GET_ARITY);
+            case "OBJ.SET" -> handleRequest(arguments, SET_ARITY);
+            case "PING" ->
+                replyOther(arguments.size() > 1 ? RespWriter.bulk(arguments.get(1)) : RespWriter.simple("PONG"));
+            case "INFO" -> replyOther(RespWriter.bulk(RespWriter.ascii(north.counterReport.get())));
+            case "CLIENT", "SELECT" -> replyOther(RespWriter.simple("OK"));
             default -> {
-                boolean shown = name.length() <= LONGEST_NAME && name.chars().allMatch(c -> c > ' ' && c < 127);
-                bad("unknown command" + (shown ? " '" + name + "'" : ""));
+                boolean echoed =
+                        name.length() <= MAX_ECHOED_NAME && name.chars().allMatch(c -> c > ' ' && c < 127);
+                rejectCommand("unknown command" + (echoed ? " '" + name + "'" : ""));
             }
         }
     }
 
-    private void other(byte[] reply) {
+    private void replyOther(byte[] reply) {
         north.counters.add(Count.COMMANDS_OTHER);
-        atOnce(reply);
+        enqueueReply(reply);
     }
 
-    private void bad(String why) {
+    private void rejectCommand(String reason) {
         north.counters.add(Count.COMMANDS_BAD);
-        atOnce(RespWriter.error("ERR " + why));
+        enqueueReply(RespWriter.error("ERR " + reason));
     }
 
-    private void request(List<byte[]> words, int count) {
-        if (words.size() != count) {
-            bad("wrong number of arguments");
+    private void handleRequest(List<byte[]> arguments, int arity) {
+        if (arguments.size() != arity) {
+            rejectCommand("wrong number of arguments");
             return;
         }
         ClientRequest request;
         try {
-            byte[] value = count == SET_WORDS ? words.get(4) : null;
+            byte[] value = arity == SET_ARITY ? arguments.get(4) : null;
             request = RequestParser.parse(
-                    words.get(1), words.get(2), words.get(3), value, north.requestClasses, cameMicros);
+                    arguments.get(1), arguments.get(2), arguments.get(3), value, north.requestClasses, receivedMicros);
         } catch (RequestParser.InvalidRequestException e) {
-            bad(e.getMessage());
+            rejectCommand(e.getMessage());
             return;
         }
         if (north.isIdInUse(request.id())) {
-            bad("id is in use"); // one of the two requests would get the other's reply
+            rejectCommand("id is in use"); // one of the two requests would get the other's reply
             return;
         }
-        if (extra || north.overCapacity(request)) {
-            turnAway();
+        if (overLimit || north.overCapacity(request)) {
+            rejectBusy();
             return;
         }
         PendingReply pending = north.register(this, request);
-        row.addLast(pending);
+        replies.addLast(pending);
         north.dispatch(pending, request);
     }
 
     /** Enqueues a busy reply. Consecutive ones share an entry with a count, so that their number takes no memory. */
-    private void turnAway() {
-        PendingReply last = row.peekLast();
-        if (last != null && last.reply == TURNED_AWAY) {
+    private void rejectBusy() {
+        PendingReply last = replies.peekLast();
+        if (last != null && last.reply == BUSY_REPLY) {
             last.repeatCount++;
         } else {
-            atOnce(TURNED_AWAY);
+            enqueueReply(BUSY_REPLY);
         }
     }
 
-    private void atOnce(byte[] reply) {
+    private void enqueueReply(byte[] reply) {
         PendingReply pending = new PendingReply(this, 0, 0);
         pending.reply = reply;
-        row.addLast(pending);
+        replies.addLast(pending);
         flush();
     }
 
     void complete(PendingReply pending, Answer answer) {
         pending.reply = answer instanceof Answer.Served served
                 ? RespWriter.bulk(served.value())
-                : answer instanceof Answer.BackOff wait
-                        ? RespWriter.error(busy(wait.afterMicros()))
+                : answer instanceof Answer.BackOff backOff
+                        ? RespWriter.error(busyError(backOff.afterMicros()))
                         : RespWriter.error("ERR failed");
         flush();
     }
 
-    private static String busy(long micros) {
+    private static String busyError(long micros) {
         return micros > 0 ? "BUSY " + (micros + 999) / 1000 : "BUSY";
     }
 
     private void flush() {
-        while (!row.isEmpty() && row.peekFirst().reply != null && unwritten < MOST_OWED) {
-            progressMicros = unwritten++ == 0 && !stopped ? north.time.now() : progressMicros;
-            PendingReply first = row.peekFirst();
-            int together = Math.min(first.repeatCount, MOST_TOGETHER);
-            first.repeatCount -= together;
+        while (!replies.isEmpty() && replies.peekFirst().reply != null && unsentWrites < MAX_PENDING_REPLIES) {
+            progressMicros = unsentWrites++ == 0 && !inputStopped ? north.time.now() : progressMicros;
+            PendingReply first = replies.peekFirst();
+            int batch = Math.min(first.repeatCount, MAX_COALESCED_REJECTIONS);
+            first.repeatCount -= batch;
             if (first.repeatCount == 0) {
-                row.removeFirst();
+                replies.removeFirst();
             }
-            link.write(together == 1 ? first.reply : RespWriter.repeat(first.reply, together));
+            link.write(batch == 1 ? first.reply : RespWriter.repeat(first.reply, batch));
         }
-        if (row.isEmpty() && (stopped || (extra || north.isDraining()) && isIdle())) {
+        if (replies.isEmpty() && (inputStopped || (overLimit || north.isDraining()) && isIdle())) {
             closeAfterReplies();
         } else {
-            resume();
+            resumeReading();
         }
     }
 
     @Override
     public void written() {
-        unwritten--;
-        progressMicros = stopped ? progressMicros : north.time.now();
-        if (unwritten == 0 && row.isEmpty() && spoken && !stopped && !leaving) {
+        unsentWrites--;
+        progressMicros = inputStopped ? progressMicros : north.time.now();
+        if (unsentWrites == 0 && replies.isEmpty() && commandReceived && !inputStopped && !closing) {
             north.markIdle(this);
         }
-        if (row.isEmpty()) {
-            resume();
+        if (replies.isEmpty()) {
+            resumeReading();
         } else {
             flush(); // replies held back until earlier ones were sent
         }
     }
 
-    private void resume() {
-        if (paused && !stopped && unwritten < MOST_UNWRITTEN / 2) {
-            readOn();
+    private void resumeReading() {
+        if (readingPaused && !inputStopped && unsentWrites < MAX_UNSENT_WRITES / 2) {
+            processCommands();
         }
     }
 
     @Override
     public void closed() {
-        if (!left) {
-            left = true;
-            forget();
+        if (!disconnected) {
+            disconnected = true;
+            abandonPending();
         }
     }
 
     /** Drops the pending replies and reports the disconnect. */
-    private void forget() {
-        stopped = true;
-        north.clientDisconnected(this, List.copyOf(row));
-        row.clear();
+    private void abandonPending() {
+        inputStopped = true;
+        north.clientDisconnected(this, List.copyOf(replies));
+        replies.clear();
     }
 }
