--- a/balancer/src/main/java/baymoor/http/HttpException.java
+++ b/balancer/src/main/java/baymoor/http/HttpException.java
@@ -1,6 +1,6 @@
 package baymoor.http;
 
-/** Bytes that are not an HTTP/1.1 answer, or more of them than is taken. */
+/** Thrown when a response is not valid HTTP/1.1 or exceeds a limit of the parser. */
 public final class HttpException extends Exception {
 
     private static final long serialVersionUID = 1;
--- a/balancer/src/main/java/baymoor/http/RequestWriter.java
+++ b/balancer/src/main/java/baymoor/http/RequestWriter.java
@@ -10,7 +10,12 @@
 
     private RequestWriter() {}
 
-    /** A request; {@code body} is null where it has none. Header values must hold no line ends. */
+    /**
+     * Encodes a request, with a Content-Length header if it has a body.
+     *
+     * @param headers further headers; names and values must not contain line breaks
+     * @param body    the body, or null if there is none
+     */
     public static byte[] request(String method, String target, String host, Map<String, String> headers, byte[] body) {
         StringBuilder head = new StringBuilder(method)
                 .append(' ')
@@ -33,7 +38,7 @@
         return encoded;
     }
 
-    /** One path segment, with all that is not unreserved escaped. */
+    /** Percent-encodes a path segment; only unreserved characters stay as they are. */
     public static String segment(String text) {
         StringBuilder out = new StringBuilder();
         for (byte b : text.getBytes(StandardCharsets.UTF_8)) {
--- a/balancer/src/main/java/baymoor/http/ResponseReader.java
+++ b/balancer/src/main/java/baymoor/http/ResponseReader.java
@@ -5,7 +5,10 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Takes the bytes of one HTTP/1.1 answer in any pieces. Lines, headers and the body not yet taken are bounded. */
+/**
+ * Parses one HTTP/1.1 response incrementally. The lengths of lines, the number of headers and the size of the buffered
+ * body are limited.
+ */
 public final class ResponseReader {
 
     private enum State {
@@ -32,14 +35,26 @@
     private final Map<String, String> headers = new HashMap<>();
     private State state = State.STATUS_LINE;
     private int status;
+    /** Header and trailer lines read so far, and interim responses. */
     private int headerCount;
+
     private long remaining;
 
+    /**
+     * Creates a parser of one response.
+     *
+     * @param maxBodyLength bytes of the body that are buffered at most until they are taken
+     */
     public ResponseReader(int maxBodyLength) {
         this.maxBodyLength = maxBodyLength;
     }
 
-    /** Reads on and gives the number of bytes used: fewer than there are once the answer is whole. */
+    /**
+     * Parses more bytes.
+     *
+     * @return the number of bytes consumed, which is less than the length only if the response is complete
+     * @throws HttpException if the bytes are not a valid response, or a limit is exceeded
+     */
     public int feed(byte[] bytes) throws HttpException {
         int position = 0;
         while (position < bytes.length && state != State.DONE) {
@@ -47,7 +62,7 @@
                 int available = bytes.length - position;
                 int length = state == State.BODY_UNTIL_CLOSE ? available : (int) Math.min(remaining, available);
                 if (body.size() + length > maxBodyLength) {
-                    throw new HttpException("body too long");
+                    throw new HttpException("body is too long");
                 }
                 body.write(bytes, position, length);
                 position += length;
@@ -64,7 +79,7 @@
                     line.setLength(0);
                     parseLine(completeLine);
                 } else if (line.length() >= MAX_LINE_LENGTH) {
-                    throw new HttpException("line too long");
+                    throw new HttpException("line is too long");
                 } else {
                     line.append((char) (b & 0xff));
                 }
@@ -73,24 +88,24 @@
         return position;
     }
 
-    /** The connection ended: this completes an answer that has no stated length. */
+    /** Handles the end of the connection's input, which completes a response without a stated length. */
     public void end() {
         if (state == State.BODY_UNTIL_CLOSE) {
             state = State.DONE;
         }
     }
 
-    /** Whether the status line and all headers have been read. */
+    /** Returns whether the status line and all headers have been read. */
     public boolean headed() {
         return state.ordinal() > State.HEADERS.ordinal();
     }
 
-    /** Whether the response has been read to its end. */
+    /** Returns whether the response is complete. */
     public boolean whole() {
         return state == State.DONE;
     }
 
-    /** Whether the connection may carry another request after this answer. */
+    /** Returns whether the connection may carry another request after this response. */
     public boolean reusable() {
         return whole()
                 && !"close".equalsIgnoreCase(header("connection"))
@@ -98,22 +113,22 @@
                 && (sized() || status == STATUS_NO_CONTENT || status == STATUS_NOT_MODIFIED);
     }
 
-    /** Whether the answer itself tells where its body ends. */
+    /** Returns whether the headers delimit the body, so that it does not extend to the end of the connection. */
     public boolean sized() {
         return headers.containsKey("content-length") || headers.containsKey("transfer-encoding");
     }
 
-    /** The status code, 0 before the status line has been read. */
+    /** Returns the status code, or 0 before the status line has been read. */
     public int status() {
         return status;
     }
 
-    /** A header's value by its name in lower case, or null. */
+    /** Returns the value of a header by its name in lower case, or null if it is absent. */
     public String header(String name) {
         return headers.get(name);
     }
 
-    /** The body so far, without what was taken before. */
+    /** Returns the part of the body received since the last call, and removes it from the buffer. */
     public byte[] takeBody() {
         byte[] taken = body.toByteArray();
         body.reset();
@@ -131,7 +146,7 @@
             }
             case CHUNK_END -> {
                 if (!text.isEmpty()) {
-                    throw new HttpException("chunk without its end");
+                    throw new HttpException("chunk data is not followed by a line break");
                 }
                 state = State.CHUNK_SIZE;
             }
@@ -142,7 +157,7 @@
     private void parseStatusLine(String text) throws HttpException {
         boolean valid = text.matches("HTTP/1\\.[01] [1-5][0-9][0-9]( .*)?");
         if (!valid || headerCount > MAX_HEADERS) {
-            throw new HttpException("not an HTTP/1.1 status line");
+            throw new HttpException("malformed status line, or too many interim responses");
         }
         status = Integer.parseInt(text.substring(9, 12));
         state = State.HEADERS;
@@ -161,16 +176,16 @@
         String name = text.substring(0, colon).toLowerCase(Locale.ROOT);
         String value = text.substring(colon + 1).trim();
         String previous = store ? headers.put(name, value) : null;
-        // Two lengths that differ: whichever is believed, the body may be another answer's.
+        // Guards against response splitting: with either length, the rest could be taken for another response.
         if (previous != null && !previous.equals(value) && name.equals("content-length")) {
-            throw new HttpException("two lengths");
+            throw new HttpException("conflicting Content-Length headers");
         }
     }
 
     private State bodyState() throws HttpException {
         if (status < MIN_FINAL_STATUS) {
             headers.clear();
-            headerCount++; // an answer of nothing but 1xx never ends
+            headerCount++; // bounds the number of interim responses
             return State.STATUS_LINE;
         }
         if (status == STATUS_NO_CONTENT || status == STATUS_NOT_MODIFIED) {
@@ -179,7 +194,7 @@
         String coding = header("transfer-encoding");
         if (coding != null) {
             if (!coding.equalsIgnoreCase("chunked") || headers.containsKey("content-length")) {
-                throw new HttpException("unknown transfer coding, or a length beside it");
+                throw new HttpException("unsupported Transfer-Encoding, or one beside a Content-Length");
             }
             return State.CHUNK_SIZE;
         }
@@ -189,7 +204,7 @@
         }
         remaining = parseLength(length, 10);
         if (remaining > maxBodyLength) {
-            throw new HttpException("body too long");
+            throw new HttpException("Content-Length is too large");
         }
         return remaining == 0 ? State.DONE : State.BODY;
     }
