--- a/balancer/src/main/java/baymoor/link/Address.java
+++ b/balancer/src/main/java/baymoor/link/Address.java
@@ -4,7 +4,7 @@
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 
-/** Reads addresses as the platform writes them. */
+/** Parses socket addresses of the form {@code host:port}. */
 public final class Address {
 
     private static final int MAX_PORT = 65535;
@@ -12,7 +12,11 @@
 
     private Address() {}
 
-    /** An address in figures with a port, or null; names are not looked up, since there is no DNS. */
+    /**
+     * Parses a numeric IP address with a port; an IPv6 address stands in brackets.
+     *
+     * @return the address, or null if the text is malformed or holds a host name: names are never resolved
+     */
     public static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
         String host = colon < 0 ? "" : text.substring(0, colon);
--- a/balancer/src/main/java/baymoor/link/Dialer.java
+++ b/balancer/src/main/java/baymoor/link/Dialer.java
@@ -2,9 +2,9 @@
 
 import java.net.InetSocketAddress;
 
-/** Opens connections; one that fails is told by {@link LinkEvents#closed} without {@code opened} before it. */
+/** Opens outgoing connections. A failure is reported by {@link LinkEvents#closed} without {@code opened} before it. */
 @FunctionalInterface
 public interface Dialer {
-    /** Begins to open a connection, whose events go to the given listener. */
+    /** Starts to open a connection and returns at once; {@code events} receives its events. */
     Link dial(InetSocketAddress to, LinkEvents events);
 }
--- a/balancer/src/main/java/baymoor/link/Link.java
+++ b/balancer/src/main/java/baymoor/link/Link.java
@@ -1,30 +1,30 @@
 package baymoor.link;
 
-/** One connection as a state machine sees it: somewhere to put bytes, and a way to end it. */
+/** A connection as its state machine sees it, independent of sockets. Called on the decision thread only. */
 public interface Link {
 
-    /** Queues bytes; {@link LinkEvents#written} tells when the last byte of each call has left. */
+    /** Queues bytes for sending; {@link LinkEvents#written} reports each call whose bytes have all been sent. */
     void write(byte[] bytes);
 
-    /** Ends the connection at once and drops what has not left; {@link LinkEvents#closed} follows. */
+    /** Closes the connection immediately and drops unsent bytes; {@link LinkEvents#closed} follows. */
     void close();
 
     /**
-     * Ends this side's output once everything queued has left, so that the other side gets all of it: a close over bytes
-     * that nobody has read would reset the connection. What comes in from then on is dropped, and its sender knows that.
-     * {@link LinkEvents#finished} tells when that is done.
+     * Closes the output (a TCP half-close) once all queued bytes have been sent, so that the peer receives all of them:
+     * closing a socket with unread input would reset the connection. Input that arrives afterwards is dropped.
+     * {@link LinkEvents#finished} reports the completion.
      *
-     * @param force whether that holds also where bytes have come in that {@link LinkEvents#received} had not told of
-     *                  when this was called; without it they are told instead, and nothing is ended
+     * @param force if true, the output is closed whatever arrives; if false, it stays open where input has arrived that
+     *              {@link LinkEvents#received} had not delivered before this call, and that input is delivered
      */
     void finish(boolean force);
 
-    /** Whether bytes have come in that {@link LinkEvents#received} has not told of yet. */
+    /** Returns whether input has arrived that {@link LinkEvents#received} has not delivered yet. */
     boolean unread();
 
-    /** Whether the connection is over, though {@link LinkEvents#closed} has not told of it yet. */
+    /** Returns whether the connection is closed, even if {@link LinkEvents#closed} has not reported it yet. */
     boolean over();
 
-    /** Stops or resumes reading, so that a peer that sends faster than it is answered has to wait. */
+    /** Pauses or resumes reading, for backpressure on a peer that sends faster than it is served. */
     void reading(boolean on);
 }
--- a/balancer/src/main/java/baymoor/link/LinkEvents.java
+++ b/balancer/src/main/java/baymoor/link/LinkEvents.java
@@ -1,20 +1,20 @@
 package baymoor.link;
 
-/** What a connection tells its state machine, always on the decision thread and in this order of events. */
+/** Receives the events of a connection, in order and on the decision thread. */
 public interface LinkEvents {
 
-    /** The connection is up. */
+    /** The connection has been established. */
     void opened();
 
-    /** Bytes came in. */
+    /** Bytes have been received. */
     void received(byte[] bytes);
 
     /** The last byte of one {@link Link#write} has been handed to the network. */
     void written();
 
-    /** This side's output has ended, as {@link Link#finish} had it; nothing more is received. */
+    /** The output has been closed, as requested by {@link Link#finish}; no more bytes are received. */
     default void finished() {}
 
-    /** The connection is over, or never came up. Nothing follows. */
+    /** The connection has been closed, or could not be established. This is the last event. */
     void closed();
 }
--- a/balancer/src/main/java/baymoor/link/Time.java
+++ b/balancer/src/main/java/baymoor/link/Time.java
@@ -1,25 +1,25 @@
 package baymoor.link;
 
-/** The one monotonic clock and its timers; what falls due runs on the decision thread. */
+/** The monotonic clock and its timers, whose tasks run on the decision thread. */
 public interface Time {
 
-    /** Microseconds since some fixed moment; the same throughout the handling of one event. */
+    /** Returns microseconds since a fixed but arbitrary time; the value is constant while an event is handled. */
     long now();
 
     /**
-     * The earliest that what is being told may have come in: before {@link #now} where it waited, be it for this thread or for a
-     * process that was held up.
+     * Returns the earliest time at which the current event may have arrived. It precedes {@link #now} if the event waited
+     * for the decision thread, or the process was suspended.
      */
     default long came() {
         return now();
     }
 
-    /** Runs a task after a delay, never before the present event has been dealt with. */
+    /** Schedules a task, which never runs before the current event has been handled. */
     Timer after(long micros, Runnable task);
 
-    /** A task that has been put off. */
+    /** A scheduled task. */
     interface Timer {
-        /** The task will not run; has no effect on one that has run. */
+        /** Cancels the task; has no effect if it has run already. */
         void cancel();
     }
 }
--- a/balancer/src/main/java/baymoor/resp/Resp.java
+++ b/balancer/src/main/java/baymoor/resp/Resp.java
@@ -5,18 +5,18 @@
 /** A RESP2 value. */
 public sealed interface Resp {
 
-    /** A line of plain text, such as {@code +OK}. */
+    /** A simple string, such as {@code +OK}. */
     record Simple(String text) implements Resp {}
 
-    /** An error line, without its leading minus. */
+    /** An error; {@code text} is without the leading minus. */
     record Failure(String text) implements Resp {}
 
-    /** A whole number. */
+    /** An integer. */
     record Whole(long number) implements Resp {}
 
-    /** A bulk string; {@code bytes} is null for the null one. */
+    /** A bulk string; {@code bytes} is null for the null bulk string. */
     record Bulk(byte[] bytes) implements Resp {}
 
-    /** An array; {@code items} is null for the null one. */
+    /** An array; {@code items} is null for the null array. */
     record Many(List<Resp> items) implements Resp {}
 }
--- a/balancer/src/main/java/baymoor/resp/RespException.java
+++ b/balancer/src/main/java/baymoor/resp/RespException.java
@@ -1,6 +1,6 @@
 package baymoor.resp;
 
-/** Bytes that are not RESP2, or more of them than is taken; the connection can't be read any further. */
+/** Thrown when input is not valid RESP2 or exceeds a limit; the rest of the connection's input can't be parsed. */
 public final class RespException extends Exception {
 
     private static final long serialVersionUID = 1;
--- a/balancer/src/main/java/baymoor/resp/RespReader.java
+++ b/balancer/src/main/java/baymoor/resp/RespReader.java
@@ -5,14 +5,14 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Takes bytes in any pieces and gives whole RESP2 values; sizes are bounded. */
+/** Parses RESP2 values incrementally; their sizes and depth are limited. */
 public final class RespReader {
 
-    /** The longest value that the protocol allows. */
+    /** The longest bulk string accepted, in bytes. */
     public static final int MAX_BULK_LENGTH = 64 * 1024;
 
     private static final int MAX_LINE_LENGTH = 1024;
-    /** Guards against noise behind a sign that promises a number: waiting on for its end would cost the request. */
+    /** Rejects garbage in place of a length or integer early, without waiting for the end of its line. */
     private static final int MAX_NUMBER_LENGTH = 24;
 
     private static final int MAX_ARRAY_LENGTH = 64;
@@ -30,17 +30,17 @@
         this.commandsOnly = commandsOnly;
     }
 
-    /** A reader of commands: arrays of bulk strings that are not null, and nothing else. */
+    /** Returns a parser of commands, which are non-empty arrays of bulk strings other than null. */
     public static RespReader ofCommands() {
         return new RespReader(true);
     }
 
-    /** A reader of any answers. */
+    /** Returns a parser of replies, which may be values of any type. */
     public static RespReader ofAnswers() {
         return new RespReader(false);
     }
 
-    /** Adds bytes that came in behind those fed before. */
+    /** Appends received bytes to the input. */
     public void feed(byte[] more) {
         if (end + more.length > buffer.length) {
             System.arraycopy(buffer, start, buffer, 0, end - start);
@@ -54,7 +54,12 @@
         end += more.length;
     }
 
-    /** The next whole value, or null if more bytes are needed. */
+    /**
+     * Parses the next value.
+     *
+     * @return the value, or null if more input is needed
+     * @throws RespException if the input is not valid, or a limit is exceeded
+     */
     public Resp next() throws RespException {
         position = start;
         Resp value = parseValue(0);
@@ -63,7 +68,7 @@
             if (start == end) {
                 start = 0;
                 end = 0;
-                // One large value must not keep its room for as long as the connection lives.
+                // Releases the memory of a large value.
                 buffer = buffer.length > MAX_BULK_LENGTH / 2 ? new byte[INITIAL_CAPACITY] : buffer;
             }
         } else if (end - start > MAX_MESSAGE_LENGTH) {
@@ -72,7 +77,7 @@
         return value;
     }
 
-    /** Whether bytes are there that belong to no value given out so far. */
+    /** Returns whether part of the input belongs to no value returned so far. */
     public boolean pending() {
         return end > start;
     }
@@ -82,7 +87,7 @@
             return null;
         }
         byte type = buffer[position];
-        // A wrong first byte is wrong however long its line will be.
+        // Fails on an invalid first byte without waiting for the rest of its line.
         boolean expected = !commandsOnly || type == (depth == 0 ? '*' : '$');
         if (!expected || "+-:$*".indexOf(type) < 0) {
             throw new RespException(depth == 0 ? "expected '*'" : "expected '$'");
@@ -151,7 +156,7 @@
         return null;
     }
 
-    /** Figures in ASCII with a minus at most: what else Java reads as a number is no length here. */
+    /** Parses ASCII digits with an optional minus; Long.parseLong alone would also accept a plus and other digits. */
     private static long parseNumber(String line, long min, long max) throws RespException {
         boolean wellFormed = !line.isEmpty() && !line.equals("-");
         for (int i = 0; i < line.length(); i++) {
--- a/balancer/src/main/java/baymoor/resp/RespWriter.java
+++ b/balancer/src/main/java/baymoor/resp/RespWriter.java
@@ -3,14 +3,14 @@
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
 
-/** Encodes RESP2. */
+/** Encodes RESP2 values. */
 public final class RespWriter {
 
     private static final byte[] CRLF = {'\r', '\n'};
 
     private RespWriter() {}
 
-    /** A command: an array of bulk strings. */
+    /** Encodes a command, as an array of bulk strings. */
     public static byte[] command(byte[]... arguments) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         out.writeBytes(ascii("*" + arguments.length + "\r\n"));
@@ -20,7 +20,7 @@
         return out.toByteArray();
     }
 
-    /** A bulk string. */
+    /** Encodes a bulk string. */
     public static byte[] bulk(byte[] content) {
         byte[] header = ascii("$" + content.length + "\r\n");
         byte[] encoded = new byte[header.length + content.length + CRLF.length];
@@ -30,7 +30,7 @@
         return encoded;
     }
 
-    /** The same again and again. */
+    /** Returns {@code count} copies of an encoded value, one after another. */
     public static byte[] repeat(byte[] content, int count) {
         byte[] encoded = new byte[content.length * count];
         for (int i = 0; i < count; i++) {
@@ -39,17 +39,17 @@
         return encoded;
     }
 
-    /** A simple string; line ends in it become blanks. */
+    /** Encodes a simple string; line breaks in it become spaces. */
     public static byte[] simple(String text) {
         return ascii("+" + replaceLineBreaks(text) + "\r\n");
     }
 
-    /** An error; line ends in it become blanks. */
+    /** Encodes an error; line breaks in it become spaces. */
     public static byte[] error(String text) {
         return ascii("-" + replaceLineBreaks(text) + "\r\n");
     }
 
-    /** The bytes of a text that is written into a command or an answer. */
+    /** Returns the UTF-8 bytes of a text, for use as an argument or a bulk string. */
     public static byte[] ascii(String text) {
         return text.getBytes(StandardCharsets.UTF_8);
     }
