--- a/balancer/src/test/java/baymoor/http/ResponseReaderTest.java
+++ b/balancer/src/test/java/baymoor/http/ResponseReaderTest.java
@@ -10,26 +10,28 @@
 
 public class ResponseReaderTest {
 
-    private static String read(String text, int piece) {
+    private static String read(String text, int chunkLength) {
         ResponseReader reader = new ResponseReader(100);
         byte[] bytes = text.getBytes(StandardCharsets.ISO_8859_1);
-        int used = 0;
+        int consumed = 0;
         try {
-            for (int at = 0; at < bytes.length; at += piece) {
-                used += reader.feed(java.util.Arrays.copyOfRange(bytes, at, Math.min(bytes.length, at + piece)));
+            for (int offset = 0; offset < bytes.length; offset += chunkLength) {
+                consumed += reader.feed(
+                        java.util.Arrays.copyOfRange(bytes, offset, Math.min(bytes.length, offset + chunkLength)));
             }
         } catch (HttpException e) {
             return "!";
         }
-        String open = reader.whole() ? "" : " open";
+        String incomplete = reader.whole() ? "" : " open";
         reader.end();
-        String end = reader.whole() ? reader.reusable() ? " again" : " last" : " cut";
+        String outcome = reader.whole() ? reader.reusable() ? " again" : " last" : " cut";
         String body = new String(reader.takeBody(), StandardCharsets.ISO_8859_1);
-        return reader.status() + " " + body + open + end + (used < bytes.length ? " +" + (bytes.length - used) : "");
+        return reader.status() + " " + body + incomplete + outcome
+                + (consumed < bytes.length ? " +" + (bytes.length - consumed) : "");
     }
 
     @Test
-    public void answersAsATable() {
+    public void responsesAreParsedWholeAndByteByByte() {
         String[][] cases = {
             {"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc", "200 abc again"},
             {"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", "200  again"},
@@ -59,7 +61,7 @@
     }
 
     @Test
-    public void aWatchIsTakenPieceByPiece() throws HttpException {
+    public void chunkedBodyIsReadIncrementally() throws HttpException {
         ResponseReader reader = new ResponseReader(10);
         reader.feed("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n6\r\n{\"a\":1"
                 .getBytes(StandardCharsets.US_ASCII));
@@ -71,7 +73,7 @@
     }
 
     @Test
-    public void requestsAsTheyAreWritten() {
+    public void requestIsEncodedWithEscapedPathAndContentLength() {
         byte[] put = RequestWriter.request(
                 "PUT", "/" + RequestWriter.segment("a b/\u00e9"), "h:1", Map.of("X-A", "b"), new byte[] {'v'});
         assertEquals(
--- a/balancer/src/test/java/baymoor/north/NorthTest.java
+++ b/balancer/src/test/java/baymoor/north/NorthTest.java
@@ -16,8 +16,8 @@
 public class NorthTest {
 
     private final ManualTime time = new ManualTime();
-    private final List<ClientRequest> taken = new ArrayList<>();
-    private final List<Long> gone = new ArrayList<>();
+    private final List<ClientRequest> received = new ArrayList<>();
+    private final List<Long> abandoned = new ArrayList<>();
     private final FakeLink link = new FakeLink();
     private final North north = new North(
             time,
@@ -26,12 +26,12 @@
             new RequestHandler() {
                 @Override
                 public void taken(long ticket, ClientRequest request) {
-                    taken.add(request);
+                    received.add(request);
                 }
 
                 @Override
                 public void gone(long ticket) {
-                    gone.add(ticket);
+                    abandoned.add(ticket);
                 }
 
                 @Override
@@ -52,18 +52,18 @@
 
     static String command(String... words) {
         StringBuilder text = new StringBuilder("*" + words.length + "\r\n");
-        for (String w : words) {
-            text.append("$").append(w.length()).append("\r\n").append(w).append("\r\n");
+        for (String word : words) {
+            text.append("$").append(word.length()).append("\r\n").append(word).append("\r\n");
         }
         return text.toString();
     }
 
-    private static String get(String id) {
+    private static String getCommand(String id) {
         return command("OBJ.GET", "0a", id, "c=read,t=x,d=500");
     }
 
     @Test
-    public void whatIsNoRequestIsAnsweredAndTheConnectionGoesOn() {
+    public void nonRequestsAndInvalidRequestsAreAnsweredWithoutClosing() {
         String[][] cases = {
             {command("PING"), "+PONG\r\n"},
             {command("ping", "hi"), "$2\r\nhi\r\n"},
@@ -82,27 +82,27 @@
             {command("OBJ.GET", "k", "i", "c=read,d=480d"), "-ERR d is not a number\r\n"},
             {command("OBJ.GET", "k", "i", "c=read,d=NaN"), "-ERR d is not a number\r\n"},
             {command("OBJ.GET", "k", "i", "c=read,d=-5"), "-ERR d is missing or out of range\r\n"},
-            {get("open"), "-ERR id is in use\r\n"},
+            {getCommand("open"), "-ERR id is in use\r\n"},
         };
         for (String[] c : cases) {
             link.in(c[0]);
             assertEquals(c[0], c[1], link.takeOut());
         }
         assertFalse(link.closed);
-        assertTrue(taken.isEmpty());
+        assertTrue(received.isEmpty());
     }
 
     @Test
-    public void whatIsNoRespIsAnsweredAndTheConnectionClosed() {
+    public void protocolErrorIsReportedAndClosesTheConnection() {
         link.in("GET / HTTP/1.1\r\n");
         assertEquals("-ERR Protocol error: expected '*'\r\n", link.takeOut());
         assertTrue(link.closed);
     }
 
     @Test
-    public void answersGoOutInTheOrderOfCommandsAndOnce() {
-        link.in(get("a") + get("b") + command("PING"));
-        assertEquals(2, taken.size());
+    public void repliesAreSentOnceAndInCommandOrder() {
+        link.in(getCommand("a") + getCommand("b") + command("PING"));
+        assertEquals(2, received.size());
         assertTrue(north.answer(2, new Answer.Served(new byte[] {'v'})));
         assertEquals("", link.takeOut());
         assertTrue(north.answer(1, new Answer.BackOff(1500)));
@@ -112,27 +112,27 @@
     }
 
     @Test
-    public void aForgottenRequestFailsAtItsDeadlineAndIsGone() {
-        link.in(get("a"));
+    public void unansweredRequestFailsAfterItsDeadlineAndIsAbandoned() {
+        link.in(getCommand("a"));
         time.pass(520_000);
         assertEquals("-ERR failed\r\n", link.takeOut());
-        assertEquals(List.of(1L), gone);
+        assertEquals(List.of(1L), abandoned);
         assertFalse(north.answer(1, new Answer.Failed()));
     }
 
     @Test
-    public void aClientIsGoneWhenItsConnectionCloses() {
-        link.in(get("a") + get("b"));
+    public void openRequestsAreAbandonedOnDisconnect() {
+        link.in(getCommand("a") + getCommand("b"));
         north.answer(2, new Answer.Failed());
         link.events.closed();
-        assertEquals(List.of(1L), gone);
+        assertEquals(List.of(1L), abandoned);
     }
 
     @Test
-    public void aDrainLeavesNothingUnanswered() {
-        FakeLink idle = other();
+    public void drainClosesConnectionsOnceTheirRequestsAreAnswered() {
+        FakeLink idle = connectClient();
         idle.in(command("PING"));
-        link.in(get("a"));
+        link.in(getCommand("a"));
         north.drain();
         assertTrue(idle.closed);
         assertFalse(link.closed);
@@ -141,12 +141,12 @@
     }
 
     @Test
-    public void aDrainWaitsForTheFirstRequestOfAConnectionThatHasJustComeUp() {
-        FakeLink silent = other();
+    public void drainKeepsNewConnectionsUntilTheirFirstCommandIsOverdue() {
+        FakeLink silent = connectClient();
         time.pass(200_000);
         north.drain();
         assertFalse(link.closed || north.quiet());
-        link.in(get("a"));
+        link.in(getCommand("a"));
         north.answer(1, new Answer.Failed());
         assertEquals("-ERR failed\r\n", link.takeOut());
         assertTrue(link.closed);
@@ -156,7 +156,7 @@
     }
 
     @Test
-    public void pastTheBoundTheClientIdleLongestIsClosed() {
+    public void clientIdleLongestIsEvictedAboveTheLimit() {
         FakeLink second = new FakeLink();
         second.events = north.client(second);
         second.in(command("PING"));
@@ -166,28 +166,28 @@
         assertFalse(link.closed);
     }
 
-    private FakeLink other() {
-        FakeLink other = new FakeLink();
-        other.leaves = true;
-        other.events = north.client(other);
-        return other;
+    private FakeLink connectClient() {
+        FakeLink added = new FakeLink();
+        added.leaves = true;
+        added.events = north.client(added);
+        return added;
     }
 
     @Test
-    public void whoNeverSendsAWholeCommandIsToldSoAndClosed() {
-        FakeLink half = other();
-        half.in("*4\r\n$7\r\nOBJ");
+    public void missingOrIncompleteFirstCommandTimesOut() {
+        FakeLink incomplete = connectClient();
+        incomplete.in("*4\r\n$7\r\nOBJ");
         time.pass(1_000_000);
-        half.in(".G");
+        incomplete.in(".G");
         time.pass(400_000);
-        assertFalse(link.closed || half.closed);
+        assertFalse(link.closed || incomplete.closed);
         time.pass(400_000);
-        assertTrue(link.closed && half.closed);
-        assertEquals("-ERR no whole command in time\r\n", half.takeOut());
+        assertTrue(link.closed && incomplete.closed);
+        assertEquals("-ERR no whole command in time\r\n", incomplete.takeOut());
     }
 
     @Test
-    public void aHalfCommandBehindAnAnsweredOneIsNotWaitedForEither() {
+    public void incompleteLaterCommandTimesOut() {
         link.in(command("PING") + "*4\r\n$7\r\n");
         link.takeOut();
         time.pass(2_000_000);
@@ -196,9 +196,9 @@
     }
 
     @Test
-    public void anIdleConnectionGoesSoonerInACrowdAndOneWithAnOpenRequestStays() {
-        link.in(get("a"));
-        FakeLink idle = other();
+    public void idleTimeoutIsShorterWhenCrowdedAndSparesOpenRequests() {
+        link.in(getCommand("a"));
+        FakeLink idle = connectClient();
         idle.in(command("PING"));
         time.pass(300_000);
         north.answer(1, new Answer.Failed());
@@ -212,88 +212,88 @@
     }
 
     @Test
-    public void whoIsOverIsReadNoFurtherAndCutOffIfItStays() {
+    public void protocolErrorStopsReadingAndStalledClientsAreDisconnected() {
         link.leaves = false;
         link.in("nonsense\r\n");
         assertFalse(link.reading);
         link.closed = false;
         time.pass(1_300_000);
         assertTrue(link.closed);
-        FakeLink deaf = other();
-        deaf.leaves = false;
-        deaf.in(command("PING"));
+        FakeLink stalled = connectClient();
+        stalled.leaves = false;
+        stalled.in(command("PING"));
         time.pass(5_300_000);
-        assertTrue(deaf.closed);
+        assertTrue(stalled.closed);
     }
 
     @Test
-    public void nearTheBoundANewConnectionTakesThePlaceOfOneThatRests() {
+    public void newConnectionNearTheLimitEvictsAnIdleOne() {
         link.in(command("PING"));
-        FakeLink busy = other();
-        busy.in(get("a"));
+        FakeLink busy = connectClient();
+        busy.in(getCommand("a"));
         assertFalse("used a moment ago", link.closed);
         time.pass(200_000);
-        FakeLink third = other();
+        FakeLink third = connectClient();
         assertTrue(link.closed);
         assertFalse(busy.closed || third.closed);
     }
 
     @Test
-    public void whoIsAskedAgainRestsNoLongerAndWhoIsAnsweredDoes() {
+    public void clientWithAnOpenRequestIsNotEvictedAsIdle() {
         link.in(command("PING"));
         time.pass(200_000);
-        link.in(get("a"));
-        other();
+        link.in(getCommand("a"));
+        connectClient();
         assertFalse("it wants something again", link.closed);
         north.answer(1, new Answer.Failed());
         time.pass(200_000);
-        other();
+        connectClient();
         assertTrue("it was answered and rests", link.closed);
     }
 
     @Test
-    public void pastTheBoundWhatNeverSpokeGoesBeforeWhatIsIdle() {
+    public void silentClientIsEvictedBeforeAnIdleOne() {
         link.in(command("PING"));
-        FakeLink silent = other();
+        FakeLink silent = connectClient();
         time.pass(400_000);
-        other();
+        connectClient();
         assertTrue(silent.closed);
         assertFalse(link.closed);
     }
 
     /** Danger: were it read no further until it is answered, nobody would see it leave, and its requests would go on. */
     @Test
-    public void whoSendsFasterThanItIsAnsweredIsTurnedAwayInItsOrderAndSeenToLeave() {
+    public void excessPipelinedCommandsAreRejectedInOrderAndADisconnectIsNoticed() {
         for (int i = 0; i < 5000; i++) {
-            link.in(get("r" + i) + command("PING"));
+            link.in(getCommand("r" + i) + command("PING"));
         }
         assertTrue(link.reading);
-        assertEquals(64, taken.size());
-        for (long t = 64; t >= 1; t--) {
+        assertEquals(64, received.size());
+        for (long ticket = 64; ticket >= 1; ticket--) {
             assertEquals("", link.takeOut());
-            north.answer(t, new Answer.Failed());
+            north.answer(ticket, new Answer.Failed());
         }
         String out = link.takeOut();
         assertEquals("-ERR failed\r\n+PONG\r\n".repeat(64) + "-BUSY 1000\r\n".repeat(10_000 - 128), out);
-        link.in(get("after"));
-        assertEquals("it is served again", 65, taken.size());
+        link.in(getCommand("after"));
+        assertEquals("it is served again", 65, received.size());
         link.events.closed();
-        assertEquals(List.of(65L), gone);
+        assertEquals(List.of(65L), abandoned);
     }
 
     @Test
-    public void aRowOfRefusalsThatNobodyReadsDoesNotFillTheMemory() {
+    public void unreadRejectionsTakeBoundedMemory() {
         link.leaves = false;
         for (int i = 0; i < 400; i++) {
-            link.in(get("r" + i) + command("PING").repeat(1000));
+            link.in(getCommand("r" + i) + command("PING").repeat(1000));
         }
         north.answer(1, new Answer.Failed());
-        int unread = link.takeOut().length();
-        assertTrue(unread + " bytes wait", unread < 128 * 1024 * 13);
+        int unreadLength = link.takeOut().length();
+        assertTrue(unreadLength + " bytes wait", unreadLength < 128 * 1024 * 13);
     }
 
     @Test
-    public void whoReadsNoAnswersIsReadNoFurther() {
+    public void readingPausesWhileRepliesAreUnsent() {
         link.leaves = false;
         for (int i = 0; i < 20; i++) {
             link.in(command("PING"));
@@ -309,51 +309,51 @@
     }
 
     @Test
-    public void aCrowdIsTurnedAwayAtOnceAndNothingOfItIsKept() {
+    public void connectionsOverTheLimitAreRejectedAndClosed() {
         FakeLink second = new FakeLink();
         second.events = north.client(second);
-        link.in(get("a"));
-        second.in(get("b"));
+        link.in(getCommand("a"));
+        second.in(getCommand("b"));
         FakeLink third = new FakeLink();
         third.events = north.client(third);
-        third.in(get("c"));
+        third.in(getCommand("c"));
         assertEquals("-BUSY 1000\r\n", third.takeOut());
         assertTrue(third.closed);
-        assertEquals(2, taken.size());
+        assertEquals(2, received.size());
     }
 
     @Test
-    public void aConnectionWithUnreadBytesIsNotClosedAsIdle() {
+    public void drainKeepsConnectionsWithUnreadInput() {
         link.unread = true;
         north.drain();
         assertFalse(link.closed);
         link.unread = false;
-        link.in(get("a"));
+        link.in(getCommand("a"));
         north.answer(1, new Answer.Failed());
         assertTrue(link.closed);
     }
 
     /** Danger: read late, after a hold-up, and served when its client was gone. */
     @Test
-    public void theDeadlineRunsFromWhenARequestMayHaveComeIn() {
+    public void deadlineCountsFromTheEarliestPossibleArrival() {
         time.waited = 400_000;
-        link.in(get("a"));
-        long left = taken.get(0).deadlineMicros() - time.now();
-        assertTrue(left + " us left of 500 ms", left > 90_000 && left <= 100_000);
+        link.in(getCommand("a"));
+        long remaining = received.get(0).deadlineMicros() - time.now();
+        assertTrue(remaining + " us left of 500 ms", remaining > 90_000 && remaining <= 100_000);
         time.waited = 900_000;
-        link.in(get("b"));
-        assertTrue(taken.get(1).deadlineMicros() < time.now());
+        link.in(getCommand("b"));
+        assertTrue(received.get(1).deadlineMicros() < time.now());
         time.waited = 0;
-        link.in(get("c"));
-        assertTrue(taken.get(2).deadlineMicros() > time.now() + 490_000);
+        link.in(getCommand("c"));
+        assertTrue(received.get(2).deadlineMicros() > time.now() + 490_000);
     }
 
     @Test
-    public void theDeadlineRunsFromTheClientsSending() {
+    public void requestFieldsAreParsedAndTheDeadlineAllowsForNetworkDelay() {
         link.in(command("OBJ.SET", "0a", "i", "c=read,t=x,d=500,k=77,h=1200,size=9.5,r=1", "value"));
-        ClientRequest t = taken.get(0);
-        assertTrue(t.deadlineMicros() < time.now() + 500_000 && t.deadlineMicros() > time.now() + 490_000);
-        assertTrue(t.write() && t.retry() && t.workMicros() == 1200 && t.size() == 9.5);
-        assertEquals("77", t.facts().get("k"));
+        ClientRequest request = received.get(0);
+        assertTrue(request.deadlineMicros() < time.now() + 500_000 && request.deadlineMicros() > time.now() + 490_000);
+        assertTrue(request.write() && request.retry() && request.workMicros() == 1200 && request.size() == 9.5);
+        assertEquals("77", request.facts().get("k"));
     }
 }
--- a/balancer/src/test/java/baymoor/resp/RespReaderTest.java
+++ b/balancer/src/test/java/baymoor/resp/RespReaderTest.java
@@ -12,29 +12,29 @@
 public class RespReaderTest {
 
     /** What a reader makes of a text, in one piece and byte by byte; {@code !} stands for an error. */
-    private static String read(String text, boolean commands, int piece) {
-        RespReader reader = commands ? RespReader.ofCommands() : RespReader.ofAnswers();
+    private static String read(String text, boolean commandsOnly, int chunkLength) {
+        RespReader reader = commandsOnly ? RespReader.ofCommands() : RespReader.ofAnswers();
         byte[] bytes = text.getBytes(StandardCharsets.ISO_8859_1);
-        List<String> shown = new ArrayList<>();
-        for (int at = 0; at < bytes.length; at += piece) {
-            reader.feed(java.util.Arrays.copyOfRange(bytes, at, Math.min(bytes.length, at + piece)));
+        List<String> parsed = new ArrayList<>();
+        for (int offset = 0; offset < bytes.length; offset += chunkLength) {
+            reader.feed(java.util.Arrays.copyOfRange(bytes, offset, Math.min(bytes.length, offset + chunkLength)));
             try {
                 for (Resp r = reader.next(); r != null; r = reader.next()) {
-                    shown.add(show(r));
+                    parsed.add(format(r));
                 }
             } catch (RespException e) {
-                shown.add("!");
+                parsed.add("!");
                 break;
             }
         }
-        return String.join(" ", shown);
+        return String.join(" ", parsed);
     }
 
-    private static String show(Resp r) {
+    private static String format(Resp r) {
         if (r instanceof Resp.Many m) {
             return m.items() == null
                     ? "[null]"
-                    : m.items().stream().map(RespReaderTest::show).toList().toString();
+                    : m.items().stream().map(RespReaderTest::format).toList().toString();
         }
         return r instanceof Resp.Bulk b
                 ? b.bytes() == null ? "null" : new String(b.bytes(), StandardCharsets.ISO_8859_1)
@@ -44,7 +44,7 @@
     }
 
     @Test
-    public void commandsAsATable() {
+    public void commandsAreParsedWholeAndByteByByte() {
         String[][] cases = {
             {"*1\r\n$4\r\nPING\r\n", "[PING]"},
             {"*2\r\n$1\r\na\r\n$0\r\n\r\n*1\r\n$1\r\nb\r\n", "[a, ] [b]"},
@@ -69,7 +69,7 @@
     }
 
     @Test
-    public void answersAsATable() {
+    public void repliesAreParsedWholeAndByteByByte() {
         String[][] cases = {
             {"+OK\r\n-ERR no\r\n:-7\r\n", "+OK -ERR no :-7"},
             {"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n", "[v, hit, null]"},
@@ -85,7 +85,7 @@
     }
 
     @Test
-    public void aLineWithoutEndIsNotReadForEver() throws RespException {
+    public void overlongLineIsRejected() throws RespException {
         RespReader reader = RespReader.ofAnswers();
         reader.feed(("+" + "x".repeat(1000)).getBytes(StandardCharsets.US_ASCII));
         assertNull(reader.next());
