--- a/balancer/src/test/java/baymoor/http/ResponseReaderTest.java
+++ b/balancer/src/test/java/baymoor/http/ResponseReaderTest.java
@@ -10,6 +10,7 @@
 
 public class ResponseReaderTest {
 
+    /** Parses a text fed in chunks; returns status, body, state and the number of unconsumed bytes, or {@code !} for an error. */
     private static String read(String text, int chunkLength) {
         ResponseReader reader = new ResponseReader(100);
         byte[] bytes = text.getBytes(StandardCharsets.ISO_8859_1);
@@ -22,9 +23,9 @@
         } catch (HttpException e) {
             return "!";
         }
-        String incomplete = reader.whole() ? "" : " open";
+        String incomplete = reader.whole() ? "" : " incomplete";
         reader.end();
-        String outcome = reader.whole() ? reader.reusable() ? " again" : " last" : " cut";
+        String outcome = reader.whole() ? reader.reusable() ? " reusable" : " close" : " truncated";
         String body = new String(reader.takeBody(), StandardCharsets.ISO_8859_1);
         return reader.status() + " " + body + incomplete + outcome
                 + (consumed < bytes.length ? " +" + (bytes.length - consumed) : "");
@@ -33,18 +34,18 @@
     @Test
     public void responsesAreParsedWholeAndByteByByte() {
         String[][] cases = {
-            {"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc", "200 abc again"},
-            {"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", "200  again"},
-            {"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nConnection: close\r\n\r\nabc", "200 abc last"},
-            {"HTTP/1.1 503 no\r\nContent-Length: 2\r\n\r\nnoHTTP", "503 no again +4"},
-            {"HTTP/1.1 200 OK\r\n\r\nabc", "200 abc open last"},
-            {"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc", "200 abc open cut"},
+            {"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc", "200 abc reusable"},
+            {"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", "200  reusable"},
+            {"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nConnection: close\r\n\r\nabc", "200 abc close"},
+            {"HTTP/1.1 503 no\r\nContent-Length: 2\r\n\r\nnoHTTP", "503 no reusable +4"},
+            {"HTTP/1.1 200 OK\r\n\r\nabc", "200 abc incomplete close"},
+            {"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc", "200 abc incomplete truncated"},
             {
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\n\r\n",
-                "200 abcde again"
+                "200 abcde reusable"
             },
             {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabcd\r\n", "!"},
-            {"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 none\r\n\r\n", "204  again"},
+            {"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 none\r\n\r\n", "204  reusable"},
             {"HTTP/1.1 200 OK\r\nContent-Length: -3\r\n\r\n", "!"},
             {"HTTP/1.1 200 OK\r\nContent-Length: 101\r\n\r\n" + "x".repeat(101), "!"},
             {"HTTP/1.1 200 OK\r\nno colon\r\n\r\n", "!"},
--- a/balancer/src/test/java/baymoor/north/NorthTest.java
+++ b/balancer/src/test/java/baymoor/north/NorthTest.java
@@ -231,7 +231,7 @@
         link.in(command("PING"));
         FakeLink busy = connectClient();
         busy.in(getCommand("a"));
-        assertFalse("used a moment ago", link.closed);
+        assertFalse("it was used a moment ago", link.closed);
         time.pass(200_000);
         FakeLink third = connectClient();
         assertTrue(link.closed);
@@ -244,11 +244,11 @@
         time.pass(200_000);
         link.in(getCommand("a"));
         connectClient();
-        assertFalse("it wants something again", link.closed);
+        assertFalse("it has an open request", link.closed);
         north.answer(1, new Answer.Failed());
         time.pass(200_000);
         connectClient();
-        assertTrue("it was answered and rests", link.closed);
+        assertTrue("it is idle again", link.closed);
     }
 
     @Test
@@ -261,7 +261,7 @@
         assertFalse(link.closed);
     }
 
-    /** Danger: were it read no further until it is answered, nobody would see it leave, and its requests would go on. */
+    /** Guards against pausing reads for unanswered commands, which would hide the disconnect. */
     @Test
     public void excessPipelinedCommandsAreRejectedInOrderAndADisconnectIsNoticed() {
         for (int i = 0; i < 5000; i++) {
@@ -276,7 +276,7 @@
         String out = link.takeOut();
         assertEquals("-ERR failed\r\n+PONG\r\n".repeat(64) + "-BUSY 1000\r\n".repeat(10_000 - 128), out);
         link.in(getCommand("after"));
-        assertEquals("it is served again", 65, received.size());
+        assertEquals("it is served again after its replies were sent", 65, received.size());
         link.events.closed();
         assertEquals(List.of(65L), abandoned);
     }
@@ -289,7 +289,7 @@
         }
         north.answer(1, new Answer.Failed());
         int unreadLength = link.takeOut().length();
-        assertTrue(unreadLength + " bytes wait", unreadLength < 128 * 1024 * 13);
+        assertTrue(unreadLength + " bytes are unsent", unreadLength < 128 * 1024 * 13);
     }
 
     @Test
@@ -333,13 +333,13 @@
         assertTrue(link.closed);
     }
 
-    /** Danger: read late, after a hold-up, and served when its client was gone. */
+    /** Guards against serving requests whose clients gave up while the process was suspended. */
     @Test
     public void deadlineCountsFromTheEarliestPossibleArrival() {
         time.waited = 400_000;
         link.in(getCommand("a"));
         long remaining = received.get(0).deadlineMicros() - time.now();
-        assertTrue(remaining + " us left of 500 ms", remaining > 90_000 && remaining <= 100_000);
+        assertTrue(remaining + " us of 500 ms remain", remaining > 90_000 && remaining <= 100_000);
         time.waited = 900_000;
         link.in(getCommand("b"));
         assertTrue(received.get(1).deadlineMicros() < time.now());
--- a/balancer/src/test/java/baymoor/resp/RespReaderTest.java
+++ b/balancer/src/test/java/baymoor/resp/RespReaderTest.java
@@ -11,7 +11,7 @@
 
 public class RespReaderTest {
 
-    /** What a reader makes of a text, in one piece and byte by byte; {@code !} stands for an error. */
+    /** Parses a text fed in chunks and formats the values, with {@code !} for an error. */
     private static String read(String text, boolean commandsOnly, int chunkLength) {
         RespReader reader = commandsOnly ? RespReader.ofCommands() : RespReader.ofAnswers();
         byte[] bytes = text.getBytes(StandardCharsets.ISO_8859_1);
