--- a/balancer/src/main/java/baymoor/north/RespClient.java
+++ b/balancer/src/main/java/baymoor/north/RespClient.java
@@ -95,7 +95,7 @@
         return progressMicros;
     }
 
-    /** Returns whether all commands have been answered and the connection has been idle for longer than this time. */
+    /** Returns whether at least one command came, all were answered, and nothing happened for longer than this time. */
     boolean hasBeenIdleFor(long micros) {
         return commandReceived
                 && !inputStopped
