--- a/balancer/src/main/java/baymoor/north/RespClient.java
+++ b/balancer/src/main/java/baymoor/north/RespClient.java
@@ -3,7 +3,7 @@
 import baymoor.counters.Count;
 import baymoor.link.Link;
 import baymoor.link.LinkEvents;
-import baymoor.north.North.PendingAnswer;
+import baymoor.north.North.PendingReply;
 import baymoor.resp.Resp;
 import baymoor.resp.RespException;
 import baymoor.resp.RespReader;
@@ -14,378 +14,385 @@
 import java.util.List;
 import java.util.Locale;
 
-/** One client's connection in RESP2: reads commands, and answers them in their order. */
+/**
+ * Serves one client connection in RESP2: parses pipelined commands, replies in their order and enforces the
+ * connection's timeouts and limits. Called on the decision thread only.
+ */
 final class RespClient implements LinkEvents {
 
-    /**
-     * Seen: connections that say nothing, or half a command, and stay. What has not sent its first whole command by
-     * now, or has begun one and not ended it for so long, is closed.
-     */
-    private static final long COMMAND_MICROS = 1_500_000;
-    /** A client's first request comes right behind its connection; one silent for longer is the first to go. */
-    private static final long SILENT_MICROS = 300_000;
-    /** Between requests a connection may go after 2 s; while there is room it stays longer. */
-    private static final long CROWDED_IDLE_MICROS = 2_000_000;
-
-    private static final long IDLE_MICROS = 15_000_000;
-    /** Who takes nothing of its answers for so long, or does not end a connection that is over, is cut off. */
-    private static final long STUCK_MICROS = 5_000_000;
-
-    private static final long PARTING_MICROS = 1_000_000;
-    /** Past so many answers that are owed here, commands are turned away unread, with the first of that row of refusals. */
-    private static final int MOST_OWED = 128;
-
-    private static final int MOST_UNWRITTEN = 16;
-    /** Refusals written at once. */
-    private static final int MOST_TOGETHER = 1024;
-
-    private static final long COME_BACK_MICROS = 1_000_000;
-    private static final int GET_WORDS = 4;
-    private static final int SET_WORDS = 5;
-    private static final int LONGEST_NAME = 32;
-    private static final byte[] TURNED_AWAY = RespWriter.error(busy(COME_BACK_MICROS));
+    /** Longest wait for the first command, and for the rest of a command that has been received in part. */
+    private static final long COMMAND_TIMEOUT_MICROS = 1_500_000;
+    /** A new connection without a command is evicted first, but only once it is older than this. */
+    private static final long FIRST_COMMAND_GRACE_MICROS = 300_000;
+
+    private static final long CROWDED_IDLE_TIMEOUT_MICROS = 2_000_000;
+    private static final long IDLE_TIMEOUT_MICROS = 15_000_000;
+    /** Longest time without progress while written replies have not left. */
+    private static final long WRITE_TIMEOUT_MICROS = 5_000_000;
+    /** Longest time between closing this side of the connection and the client closing its own. */
+    private static final long CLOSE_TIMEOUT_MICROS = 1_000_000;
+    /** With this many replies pending, further commands are rejected as busy. */
+    private static final int MAX_PENDING_REPLIES = 128;
+    /** With this many writes unsent, no more input is read; reading resumes below half of it. */
+    private static final int MAX_UNSENT_WRITES = 16;
+
+    private static final int MAX_COALESCED_REJECTIONS = 1024;
+    private static final long RETRY_AFTER_MICROS = 1_000_000;
+    private static final int GET_ARITY = 4;
+    private static final int SET_ARITY = 5;
+    private static final int MAX_ECHOED_NAME = 32;
+    private static final byte[] BUSY_REPLY = RespWriter.error(busyError(RETRY_AFTER_MICROS));
 
     private final North north;
     private final Link link;
     private final RespReader reader = RespReader.ofCommands();
-    private final Deque<PendingAnswer> row = new ArrayDeque<>();
-    private int unwritten;
-    private boolean extra;
-    /** Nothing more is read: it said what can't be read, or this side's end has gone out. */
-    private boolean stopped;
-    /** It is to end unless something comes in before that; and it has ended on this side. */
-    private boolean leaving;
-
-    private boolean finished;
-    /** Its end has been dealt with, or is next. */
-    private boolean left;
-
-    private boolean paused;
-    private boolean spoken;
-    /** When this connection last got on: came up, brought a whole command, sent an answer, or was ended. */
-    private long movedMicros;
-    /** Since when it lacks the end of a command. */
-    private long partMicros;
-    /** When the last bytes may have come in: clients count their time from before that. */
-    private long cameMicros;
+    private final Deque<PendingReply> replies = new ArrayDeque<>();
+    private int unsentWrites;
+    /** Accepted over the connection limit: its first request is rejected and the connection closed. */
+    private boolean overLimit;
+    /** Input is ignored: after a protocol error, on shutdown, or once the output is closed. */
+    private boolean inputStopped;
+    /** Closing of the output has been requested; input that arrives before it takes effect revokes that. */
+    private boolean closing;
+
+    private boolean outputClosed;
+    /** The disconnect has been handled, or its handling is scheduled. */
+    private boolean disconnected;
+
+    private boolean readingPaused;
+    private boolean commandReceived;
+    /** When the connection was opened, or last received a whole command, sent a reply or was asked to close. */
+    private long progressMicros;
+    /** Since when the rest of a command has been missing. */
+    private long commandStartMicros;
+    /** Earliest time at which the last input may have arrived; deadlines count from it. */
+    private long receivedMicros;
 
     RespClient(North north, Link link) {
         this.north = north;
         this.link = link;
-        movedMicros = north.time.now();
-        partMicros = movedMicros;
+        progressMicros = north.time.now();
+        commandStartMicros = progressMicros;
     }
 
-    boolean spoken() {
-        return spoken;
+    boolean hasSentCommand() {
+        return commandReceived;
     }
 
     /**
-     * Whether the client is still connected. The connection may be over though its end is still queued behind other events;
-     * once that is noticed here, the end is dealt with right after the present event. Danger: seen was that a connection to a
-     * router came up in between, each attempt of a client that had left ended as not sent, and after five of them, all before
-     * the client's end was told, the request counted as refused and not as gone.
+     * Returns whether the client is still connected. A disconnect whose event is queued counts too, and is handled after
+     * the current event: the request must not be rejected, for want of a sent attempt, before it is reported abandoned.
      */
-    boolean there() {
-        if (!left && link.over()) {
-            left = true;
-            north.time.after(0, this::forget);
+    boolean isConnected() {
+        if (!disconnected && link.over()) {
+            disconnected = true;
+            north.time.after(0, this::abandonPending);
         }
-        return !left;
+        return !disconnected;
     }
 
-    /** Since when nothing has moved here. */
-    long movedMicros() {
-        return movedMicros;
+    long progressMicros() {
+        return progressMicros;
     }
 
-    /** Whether it has been served and wants nothing for so long. */
-    boolean rests(long micros) {
-        return spoken && !stopped && !leaving && quiet() && unwritten == 0 && north.time.now() - movedMicros > micros;
+    /** Returns whether at least one command came, all were answered, and nothing happened for longer than this time. */
+    boolean hasBeenIdleFor(long micros) {
+        return commandReceived
+                && !inputStopped
+                && !closing
+                && isIdle()
+                && unsentWrites == 0
+                && north.time.now() - progressMicros > micros;
     }
 
-    /** Whether nothing whole ever came, for longer than a client's first request is on its way. */
-    boolean silent() {
-        return !spoken && !stopped && !leaving && !link.unread() && north.time.now() - movedMicros > SILENT_MICROS;
+    /** Returns whether the first command is overdue. */
+    boolean isSilent() {
+        return !commandReceived
+                && !inputStopped
+                && !closing
+                && !link.unread()
+                && north.time.now() - progressMicros > FIRST_COMMAND_GRACE_MICROS;
     }
 
-    /** Whether its first request may still be on the way: no client opens a connection for nothing. */
-    boolean awaited() {
-        return !spoken && !stopped && !leaving && !silent();
+    /** Returns whether the first command may still be in transit. */
+    boolean awaitsFirstCommand() {
+        return !commandReceived && !inputStopped && !closing && !isSilent();
     }
 
-    /** Closes the connection if it has waited too long for what does not come. */
-    void look(boolean crowded) {
+    /** Closes the connection if one of its timeouts has expired. {@code crowded} shortens the idle timeout. */
+    void checkTimeouts(boolean crowded) {
         long now = north.time.now();
-        boolean half = !stopped && !leaving && !paused && !link.unread() && (!spoken || reader.pending());
-        if (stopped || leaving
-                ? row.isEmpty() && now - movedMicros > PARTING_MICROS
-                : unwritten > 0 && now - movedMicros > STUCK_MICROS) {
+        boolean awaitingCommand =
+                !inputStopped && !closing && !readingPaused && !link.unread() && (!commandReceived || reader.pending());
+        if (inputStopped || closing
+                ? replies.isEmpty() && now - progressMicros > CLOSE_TIMEOUT_MICROS
+                : unsentWrites > 0 && now - progressMicros > WRITE_TIMEOUT_MICROS) {
             north.counters.add(Count.CLIENTS_STUCK);
             link.close();
-        } else if (half && now - partMicros > COMMAND_MICROS) {
+        } else if (awaitingCommand && now - commandStartMicros > COMMAND_TIMEOUT_MICROS) {
             north.counters.add(Count.CLIENTS_SILENT);
-            end(RespWriter.error("ERR no whole command in time"));
-        } else if (north.draining() && quiet() && silent()) {
-            leave();
-        } else if (quiet()
-                && !stopped
-                && !leaving
-                && now - movedMicros > (crowded ? CROWDED_IDLE_MICROS : IDLE_MICROS)) {
+            replyAndClose(RespWriter.error("ERR no whole command in time"));
+        } else if (north.isDraining() && isIdle() && isSilent()) {
+            closeAfterReplies();
+        } else if (isIdle()
+                && !inputStopped
+                && !closing
+                && now - progressMicros > (crowded ? CROWDED_IDLE_TIMEOUT_MICROS : IDLE_TIMEOUT_MICROS)) {
             north.counters.add(Count.CLIENTS_IDLE);
-            leave();
+            closeAfterReplies();
         }
     }
 
-    boolean quiet() {
-        return row.isEmpty() && !reader.pending() && !link.unread();
+    /** Returns whether no reply is pending and no input is unprocessed. */
+    boolean isIdle() {
+        return replies.isEmpty() && !reader.pending() && !link.unread();
     }
 
-    /** Whether every answer has left, and then this side's end. */
-    boolean ended() {
-        return finished;
+    /** Returns whether all replies have been sent and the output is closed. */
+    boolean isOutputClosed() {
+        return outputClosed;
     }
 
-    /** There are too many connections, all of them busy: the first request here is turned away, then it is closed. */
-    void oneAnswerOnly() {
-        extra = true;
+    /** Marks the connection as over the limit: its first request is rejected as busy, then it is closed. */
+    void rejectFirstRequest() {
+        overLimit = true;
     }
 
-    /** Ends this connection once all answers have left, unless a command comes in before that. */
-    void leave() {
-        if (!leaving) {
-            leaving = true;
-            north.notAtRest(this);
-            movedMicros = north.time.now();
-            link.finish(stopped);
+    /** Closes the output once all replies have been sent, unless input arrives before that. */
+    void closeAfterReplies() {
+        if (!closing) {
+            closing = true;
+            north.markBusy(this);
+            progressMicros = north.time.now();
+            link.finish(inputStopped);
         }
     }
 
-    /** Ends it in any case: the program does. */
-    void endAnyway() {
-        stop();
-        leaving = false;
-        leave();
+    /** Closes the output once all replies have been sent, whatever arrives; for shutdown. */
+    void closeUnconditionally() {
+        stopReading();
+        closing = false;
+        closeAfterReplies();
     }
 
-    /** At once, where it has had its time to end. */
-    void cut() {
+    /** Closes the connection immediately and drops unsent replies. */
+    void closeNow() {
         link.close();
     }
 
-    /** Reads nothing more: seen was a client that sends 60 MB on, whatever it is told. */
-    private void stop() {
-        if (!stopped) {
-            stopped = true;
-            north.notAtRest(this);
+    /** Ignores further input and stops reading from the socket. */
+    private void stopReading() {
+        if (!inputStopped) {
+            inputStopped = true;
+            north.markBusy(this);
             link.reading(false);
         }
     }
 
-    /** Answers once more, and closes once that has left. */
-    private void end(byte[] answer) {
-        stop();
-        atOnce(answer);
+    /** Sends a last reply and closes the connection behind it. */
+    private void replyAndClose(byte[] reply) {
+        stopReading();
+        enqueueReply(reply);
     }
 
     @Override
     public void opened() {
-        // A client speaks first.
+        // The client sends first.
     }
 
     @Override
     public void finished() {
-        finished = true;
-        stopped = true;
+        outputClosed = true;
+        inputStopped = true;
     }
 
     @Override
     public void received(byte[] bytes) {
-        // Danger: what a client that has left sent before that would still be sent on, after a hold-up long after it
-        // left.
-        if (stopped || link.over()) {
+        // Guards against dispatching requests that a client sent before it disconnected.
+        if (inputStopped || link.over()) {
             return;
         }
-        leaving = false; // this came in before the end could go out
-        north.notAtRest(this);
-        north.used(this);
-        partMicros = reader.pending() ? partMicros : north.time.now();
-        cameMicros = north.time.came();
+        closing = false; // the input preceded the closing of the output
+        north.markBusy(this);
+        north.markUsed(this);
+        commandStartMicros = reader.pending() ? commandStartMicros : north.time.now();
+        receivedMicros = north.time.came();
         reader.feed(bytes);
-        readOn();
+        processCommands();
     }
 
-    private void readOn() {
+    private void processCommands() {
         try {
-            while (!stopped && !full()) {
+            while (!inputStopped && !writeBacklogFull()) {
                 Resp command = reader.next();
                 if (command == null) {
                     break;
                 }
-                spoken = true;
-                movedMicros = north.time.now();
-                partMicros = movedMicros;
-                if (row.size() >= MOST_OWED) {
+                commandReceived = true;
+                progressMicros = north.time.now();
+                commandStartMicros = progressMicros;
+                if (replies.size() >= MAX_PENDING_REPLIES) {
                     north.counters.add(Count.TURNED_AWAY);
-                    turnAway();
+                    rejectBusy();
                     continue;
                 }
-                take(((Resp.Many) command)
+                execute(((Resp.Many) command)
                         .items().stream()
-                                .map(word -> ((Resp.Bulk) word).bytes())
+                                .map(argument -> ((Resp.Bulk) argument).bytes())
                                 .toList());
             }
         } catch (RespException e) {
             north.counters.add(Count.COMMANDS_BAD);
-            end(RespWriter.error("ERR Protocol error: " + e.getMessage()));
+            replyAndClose(RespWriter.error("ERR Protocol error: " + e.getMessage()));
         }
-        if (!stopped && full() != paused) {
-            paused = !paused;
-            link.reading(!paused);
+        if (!inputStopped && writeBacklogFull() != readingPaused) {
+            readingPaused = !readingPaused;
+            link.reading(!readingPaused);
         }
     }
 
     /**
-     * Guards against a client that sends on and on but reads nothing: its answers would fill the memory. Danger: while
-     * nothing is read its end isn't seen either, and what it wants is sent on though it has left. So this turns on answers
-     * that do not leave, as theirs is an end that is seen, and not on the number of commands that wait.
+     * Returns whether too many writes are unsent, so that a client that reads no replies can't exhaust the memory.
+     * Unanswered commands don't count, since a disconnect goes unnoticed while reading is paused.
      */
-    private boolean full() {
-        return unwritten >= MOST_UNWRITTEN;
+    private boolean writeBacklogFull() {
+        return unsentWrites >= MAX_UNSENT_WRITES;
     }
 
-    private void take(List<byte[]> words) {
-        String name = new String(words.get(0), StandardCharsets.ISO_8859_1).toUpperCase(Locale.ROOT);
+    private void execute(List<byte[]> arguments) {
+        String name = new String(arguments.get(0), StandardCharsets.ISO_8859_1).toUpperCase(Locale.ROOT);
         switch (name) {
-            case "OBJ.GET" -> request(words, GET_WORDS);
-            case "OBJ.SET" -> request(words, SET_WORDS);
-            case "PING" -> other(words.size() > 1 ? RespWriter.bulk(words.get(1)) : RespWriter.simple("PONG"));
-            case "INFO" -> other(RespWriter.bulk(RespWriter.ascii(north.report.get())));
-            case "CLIENT", "SELECT" -> other(RespWriter.simple("OK"));
+            case "OBJ.GET" -> handleRequest(arguments, GET_ARITY);
+            case "OBJ.SET" -> handleRequest(arguments, SET_ARITY);
+            case "PING" ->
+                replyOther(arguments.size() > 1 ? RespWriter.bulk(arguments.get(1)) : RespWriter.simple("PONG"));
+            case "INFO" -> replyOther(RespWriter.bulk(RespWriter.ascii(north.counterReport.get())));
+            case "CLIENT", "SELECT" -> replyOther(RespWriter.simple("OK"));
             default -> {
-                boolean shown = name.length() <= LONGEST_NAME && name.chars().allMatch(c -> c > ' ' && c < 127);
-                bad("unknown command" + (shown ? " '" + name + "'" : ""));
+                boolean echoed =
+                        name.length() <= MAX_ECHOED_NAME && name.chars().allMatch(c -> c > ' ' && c < 127);
+                rejectCommand("unknown command" + (echoed ? " '" + name + "'" : ""));
             }
         }
     }
 
-    private void other(byte[] answer) {
+    private void replyOther(byte[] reply) {
         north.counters.add(Count.COMMANDS_OTHER);
-        atOnce(answer);
+        enqueueReply(reply);
     }
 
-    private void bad(String why) {
+    private void rejectCommand(String reason) {
         north.counters.add(Count.COMMANDS_BAD);
-        atOnce(RespWriter.error("ERR " + why));
+        enqueueReply(RespWriter.error("ERR " + reason));
     }
 
-    private void request(List<byte[]> words, int count) {
-        if (words.size() != count) {
-            bad("wrong number of arguments");
+    private void handleRequest(List<byte[]> arguments, int arity) {
+        if (arguments.size() != arity) {
+            rejectCommand("wrong number of arguments");
             return;
         }
         ClientRequest request;
         try {
-            byte[] value = count == SET_WORDS ? words.get(4) : null;
-            request = Facts.read(words.get(1), words.get(2), words.get(3), value, north.classes, cameMicros);
-        } catch (Facts.Refused e) {
-            bad(e.getMessage());
+            byte[] value = arity == SET_ARITY ? arguments.get(4) : null;
+            request = RequestParser.parse(
+                    arguments.get(1), arguments.get(2), arguments.get(3), value, north.requestClasses, receivedMicros);
+        } catch (RequestParser.InvalidRequestException e) {
+            rejectCommand(e.getMessage());
             return;
         }
-        if (north.open(request.id())) {
-            // Seen: the id of another client's request that is open. One of the two would get the other's answer.
-            bad("id is in use");
+        if (north.isIdInUse(request.id())) {
+            rejectCommand("id is in use"); // one of the two requests would get the other's reply
             return;
         }
-        if (extra || north.full(request)) {
-            turnAway();
+        if (overLimit || north.overCapacity(request)) {
+            rejectBusy();
             return;
         }
-        PendingAnswer pending = north.take(this, request);
-        row.addLast(pending);
-        north.hand(pending, request);
+        PendingReply pending = north.register(this, request);
+        replies.addLast(pending);
+        north.dispatch(pending, request);
     }
 
-    /** One more refusal; a row of them at the end is kept as one with its number, as a client may send on without end. */
-    private void turnAway() {
-        PendingAnswer last = row.peekLast();
-        if (last != null && last.answer == TURNED_AWAY) {
-            last.times++;
+    /** Enqueues a busy reply. Consecutive ones share an entry with a count, so that their number takes no memory. */
+    private void rejectBusy() {
+        PendingReply last = replies.peekLast();
+        if (last != null && last.reply == BUSY_REPLY) {
+            last.repeatCount++;
         } else {
-            atOnce(TURNED_AWAY);
+            enqueueReply(BUSY_REPLY);
         }
     }
 
-    private void atOnce(byte[] answer) {
-        PendingAnswer pending = new PendingAnswer(this, 0, 0);
-        pending.answer = answer;
-        row.addLast(pending);
+    private void enqueueReply(byte[] reply) {
+        PendingReply pending = new PendingReply(this, 0, 0);
+        pending.reply = reply;
+        replies.addLast(pending);
         flush();
     }
 
-    void answer(PendingAnswer pending, Answer answer) {
-        pending.answer = answer instanceof Answer.Served served
+    void complete(PendingReply pending, Answer answer) {
+        pending.reply = answer instanceof Answer.Served served
                 ? RespWriter.bulk(served.value())
-                : answer instanceof Answer.BackOff wait
-                        ? RespWriter.error(busy(wait.afterMicros()))
+                : answer instanceof Answer.BackOff backOff
+                        ? RespWriter.error(busyError(backOff.afterMicros()))
                         : RespWriter.error("ERR failed");
         flush();
     }
 
-    private static String busy(long micros) {
+    private static String busyError(long micros) {
         return micros > 0 ? "BUSY " + (micros + 999) / 1000 : "BUSY";
     }
 
     private void flush() {
-        while (!row.isEmpty() && row.peekFirst().answer != null && unwritten < MOST_OWED) {
-            movedMicros = unwritten++ == 0 && !stopped ? north.time.now() : movedMicros;
-            PendingAnswer first = row.peekFirst();
-            int together = Math.min(first.times, MOST_TOGETHER);
-            first.times -= together;
-            if (first.times == 0) {
-                row.removeFirst();
+        while (!replies.isEmpty() && replies.peekFirst().reply != null && unsentWrites < MAX_PENDING_REPLIES) {
+            progressMicros = unsentWrites++ == 0 && !inputStopped ? north.time.now() : progressMicros;
+            PendingReply first = replies.peekFirst();
+            int batch = Math.min(first.repeatCount, MAX_COALESCED_REJECTIONS);
+            first.repeatCount -= batch;
+            if (first.repeatCount == 0) {
+                replies.removeFirst();
             }
-            link.write(together == 1 ? first.answer : RespWriter.times(first.answer, together));
+            link.write(batch == 1 ? first.reply : RespWriter.repeat(first.reply, batch));
         }
-        if (row.isEmpty() && (stopped || (extra || north.draining()) && quiet())) {
-            leave();
+        if (replies.isEmpty() && (inputStopped || (overLimit || north.isDraining()) && isIdle())) {
+            closeAfterReplies();
         } else {
-            resume();
+            resumeReading();
         }
     }
 
     @Override
     public void written() {
-        unwritten--;
-        movedMicros = stopped ? movedMicros : north.time.now();
-        if (unwritten == 0 && row.isEmpty() && spoken && !stopped && !leaving) {
-            north.atRest(this);
+        unsentWrites--;
+        progressMicros = inputStopped ? progressMicros : north.time.now();
+        if (unsentWrites == 0 && replies.isEmpty() && commandReceived && !inputStopped && !closing) {
+            north.markIdle(this);
         }
-        if (row.isEmpty()) {
-            resume();
+        if (replies.isEmpty()) {
+            resumeReading();
         } else {
-            flush(); // what was held back until earlier answers had left
+            flush(); // replies held back until earlier ones were sent
         }
     }
 
-    private void resume() {
-        if (paused && !stopped && unwritten < MOST_UNWRITTEN / 2) {
-            readOn();
+    private void resumeReading() {
+        if (readingPaused && !inputStopped && unsentWrites < MAX_UNSENT_WRITES / 2) {
+            processCommands();
         }
     }
 
     @Override
     public void closed() {
-        if (!left) {
-            left = true;
-            forget();
+        if (!disconnected) {
+            disconnected = true;
+            abandonPending();
         }
     }
 
-    /** Nothing is owed here any more. */
-    private void forget() {
-        stopped = true;
-        north.gone(this, List.copyOf(row));
-        row.clear();
+    /** Drops the pending replies and reports the disconnect. */
+    private void abandonPending() {
+        inputStopped = true;
+        north.clientDisconnected(this, List.copyOf(replies));
+        replies.clear();
     }
 }
