--- a/balancer/src/main/java/baymoor/net/DecisionThread.java
+++ b/balancer/src/main/java/baymoor/net/DecisionThread.java
@@ -11,33 +11,33 @@
 public final class DecisionThread implements Time, Runnable {
 
     /** The clock's first reading: high enough that starts of hosts long before this program's are above 0. */
-    private static final long ORIGIN_MICROS = 1_000_000_000_000L;
+    private static final long CLOCK_START_MICROS = 1_000_000_000_000L;
 
     /** Due before all else: what belongs to the present event is done before the next one is heard. */
-    private static final long AT_ONCE = 0;
+    private static final long DUE_IMMEDIATELY = 0;
 
-    private static final long MICROS_A_MILLI = 1_000;
+    private static final long MICROS_PER_MILLI = 1_000;
 
     /**
      * What has come in and was not looked at yet, under its own monitor. Seen: where one thread of the process runs at a
      * time, a queue of java.util.concurrent held the balancer up for good. Between two steps of a signal its waiter
      * spins, trusting that the other thread goes on meanwhile; a monitor's waiter sleeps.
      */
-    private final ArrayDeque<Posted> posted = new ArrayDeque<>();
+    private final ArrayDeque<PostedTask> posted = new ArrayDeque<>();
     /** What was taken over from there. */
-    private final ArrayDeque<Posted> queue = new ArrayDeque<>();
+    private final ArrayDeque<PostedTask> localQueue = new ArrayDeque<>();
 
-    private final PriorityQueue<Due> timers = new PriorityQueue<>();
+    private final PriorityQueue<ScheduledTask> timers = new PriorityQueue<>();
     private final long startNanos = System.nanoTime();
     private final Counters counters;
     private final Consumer<String> log;
-    private final HoldUps holdUps = new HoldUps();
-    private long now = ORIGIN_MICROS;
-    private long came = ORIGIN_MICROS;
+    private final PauseDetector pauseDetector = new PauseDetector();
+    private long nowMicros = CLOCK_START_MICROS;
+    private long earliestArrivalMicros = CLOCK_START_MICROS;
     /** When this thread means to look at the clock next. */
-    private long meant = Long.MAX_VALUE;
+    private long expectedWakeMicros = Long.MAX_VALUE;
 
-    private long sequence;
+    private long nextSequence;
     private volatile boolean stopped;
 
     public DecisionThread(Counters counters, Consumer<String> log) {
@@ -46,16 +46,16 @@
     }
 
     /** What the drivers handed in, and when. */
-    private record Posted(long atMicros, Runnable task) {}
+    private record PostedTask(long postedMicros, Runnable task) {}
 
-    private static final class Due implements Timer, Comparable<Due> {
-        final long atMicros;
-        final long number;
+    private static final class ScheduledTask implements Timer, Comparable<ScheduledTask> {
+        final long dueMicros;
+        final long sequence;
         Runnable task;
 
-        Due(long atMicros, long number, Runnable task) {
-            this.atMicros = atMicros;
-            this.number = number;
+        ScheduledTask(long dueMicros, long sequence, Runnable task) {
+            this.dueMicros = dueMicros;
+            this.sequence = sequence;
             this.task = task;
         }
 
@@ -66,41 +66,42 @@
         }
 
         @Override
-        public int compareTo(Due other) {
-            int byTime = Long.compare(atMicros, other.atMicros);
-            return byTime != 0 ? byTime : Long.compare(number, other.number);
+        public int compareTo(ScheduledTask other) {
+            int byDueTime = Long.compare(dueMicros, other.dueMicros);
+            return byDueTime != 0 ? byDueTime : Long.compare(sequence, other.sequence);
         }
     }
 
     /** Hands a task to the decision thread, from any thread. */
     public void post(Runnable task) {
-        Posted one = new Posted(read(), task);
+        PostedTask postedTask = new PostedTask(read(), task);
         synchronized (posted) {
-            posted.add(one);
+            posted.add(postedTask);
             posted.notify();
         }
     }
 
     @Override
     public long now() {
-        return now;
+        return nowMicros;
     }
 
     @Override
     public long came() {
-        return came;
+        return earliestArrivalMicros;
     }
 
     @Override
     public Timer after(long micros, Runnable task) {
-        Due due = new Due(micros <= 0 ? AT_ONCE : now + micros, sequence++, task);
-        timers.add(due);
-        return due;
+        ScheduledTask timer =
+                new ScheduledTask(micros <= 0 ? DUE_IMMEDIATELY : nowMicros + micros, nextSequence++, task);
+        timers.add(timer);
+        return timer;
     }
 
     /** What the clock shows now, for the mapping of other clocks onto it. */
     public long read() {
-        return ORIGIN_MICROS + (System.nanoTime() - startNanos) / 1000;
+        return CLOCK_START_MICROS + (System.nanoTime() - startNanos) / 1000;
     }
 
     /** Lets {@link #run} return after the present task. */
@@ -112,61 +113,65 @@
     @Override
     public void run() {
         while (!stopped) {
-            now = read();
-            holdUps.looked(meant, now);
-            meant = now;
-            came = now;
-            Due due = timers.peek();
-            Posted next = next();
+            nowMicros = read();
+            pauseDetector.wokeUp(expectedWakeMicros, nowMicros);
+            expectedWakeMicros = nowMicros;
+            earliestArrivalMicros = nowMicros;
+            ScheduledTask nextTimer = timers.peek();
+            PostedTask nextPosted = peekPosted();
             // Seen: while this thread was held up, answers that had come in waited here, and the time-outs of their
             // attempts went first. What happened first is told first.
-            if (due != null && due.atMicros <= now && (next == null || due.atMicros < next.atMicros)) {
+            if (nextTimer != null
+                    && nextTimer.dueMicros <= nowMicros
+                    && (nextPosted == null || nextTimer.dueMicros < nextPosted.postedMicros)) {
                 timers.poll();
-                Runnable task = due.task;
+                Runnable task = nextTimer.task;
                 if (task != null) {
-                    perform(task);
+                    runTask(task);
                 }
                 continue;
             }
-            if (next != null) {
-                queue.poll();
-                came = holdUps.came(next.atMicros);
-                perform(next.task);
+            if (nextPosted != null) {
+                localQueue.poll();
+                earliestArrivalMicros = pauseDetector.earliestArrival(nextPosted.postedMicros);
+                runTask(nextPosted.task);
             } else {
-                meant = due == null ? Long.MAX_VALUE : due.atMicros;
-                sleep(due);
+                expectedWakeMicros = nextTimer == null ? Long.MAX_VALUE : nextTimer.dueMicros;
+                awaitWork(nextTimer);
             }
         }
     }
 
     /** The next task that was handed in, or null. */
-    private Posted next() {
-        if (queue.isEmpty()) {
+    private PostedTask peekPosted() {
+        if (localQueue.isEmpty()) {
             synchronized (posted) {
-                queue.addAll(posted);
+                localQueue.addAll(posted);
                 posted.clear();
             }
         }
-        return queue.peek();
+        return localQueue.peek();
     }
 
     /** Sleeps until something is handed in, or a timer is due (to the millisecond above, as monitors have it). */
-    private void sleep(Due due) {
+    private void awaitWork(ScheduledTask nextTimer) {
         synchronized (posted) {
             if (!posted.isEmpty()) {
                 return;
             }
             try {
                 // 0 would be for ever; what is due within a millisecond is waited for that long.
-                long millis = due == null ? 0 : (due.atMicros - now + MICROS_A_MILLI - 1) / MICROS_A_MILLI;
-                posted.wait(Math.max(due == null ? 0 : 1, millis));
+                long millis = nextTimer == null
+                        ? 0
+                        : (nextTimer.dueMicros - nowMicros + MICROS_PER_MILLI - 1) / MICROS_PER_MILLI;
+                posted.wait(Math.max(nextTimer == null ? 0 : 1, millis));
             } catch (InterruptedException e) {
                 stopped = true;
             }
         }
     }
 
-    private void perform(Runnable task) {
+    private void runTask(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException | Error e) {
--- a/balancer/src/main/java/baymoor/net/HalfClose.java
+++ b/balancer/src/main/java/baymoor/net/HalfClose.java
@@ -25,16 +25,16 @@
     }
 
     /** Something to write that is nothing: it stands in the queue of writes and leaves no byte. */
-    static IoBuffer mark() {
+    static IoBuffer marker() {
         return IoBuffer.allocate(0);
     }
 
-    static boolean isMark(Object message) {
+    static boolean isMarker(Object message) {
         return message instanceof IoBuffer buffer && buffer.capacity() == 0;
     }
 
     /** Sends this side's end; a connection that is broken already needs none. */
-    static void endOutput(IoSession session) {
+    static void shutdownOutput(IoSession session) {
         try {
             ((SocketChannel) CHANNEL.get(session)).shutdownOutput();
         } catch (IOException e) {
--- a/balancer/src/main/java/baymoor/net/MinaLink.java
+++ b/balancer/src/main/java/baymoor/net/MinaLink.java
@@ -15,119 +15,119 @@
 final class MinaLink implements Link {
 
     /** Seen: clients that send at full speed. What they send must wait in their sockets, not in the queue. */
-    private static final int MOST_UNTOLD = 128 * 1024;
+    private static final int MAX_UNDELIVERED_BYTES = 128 * 1024;
     /** Who sends on so much after this side's end has gone out is cut off. */
-    private static final int MOST_DROPPED = 64 * 1024;
+    private static final int MAX_DISCARDED_BYTES = 64 * 1024;
 
-    private static final int IN_ANY_CASE = -1;
+    private static final int ANY_READ_COUNT = -1;
 
     private final DecisionThread thread;
     private LinkEvents events;
     private volatile IoSession session;
-    private volatile boolean abandoned;
-    private ConnectFuture connecting;
-    private boolean over;
+    private volatile boolean closeRequested;
+    private ConnectFuture connectFuture;
+    private boolean closedDelivered;
     /** The driver knows that it is over. */
-    private volatile boolean ended;
+    private volatile boolean disconnected;
     /** Reads that the driver's one thread has made, and those of them that were told. */
-    private int reads;
+    private int readCount;
 
-    private int readsTold;
+    private int deliveredReads;
     /** Driver's thread: this side's output has ended, and what came in since. */
-    private boolean finished;
+    private boolean outputShutDown;
 
-    private int dropped;
-    private final AtomicInteger untold = new AtomicInteger();
+    private int discardedBytes;
+    private final AtomicInteger undeliveredBytes = new AtomicInteger();
     /** Whether the state machine wants bytes, and whether the decision thread keeps up with them. */
-    private boolean wanted = true;
+    private boolean readingRequested = true;
 
-    private boolean behind;
+    private boolean backlogged;
 
     MinaLink(DecisionThread thread) {
         this.thread = thread;
     }
 
     /** Decision thread, before anything is told. */
-    void events(LinkEvents listener) {
+    void setEvents(LinkEvents listener) {
         events = listener;
     }
 
-    void accepted(IoSession accepted, Function<Link, LinkEvents> clients) {
-        session = accepted;
-        thread.post(() -> events = clients.apply(this));
+    void onAccepted(IoSession acceptedSession, Function<Link, LinkEvents> acceptHandler) {
+        session = acceptedSession;
+        thread.post(() -> events = acceptHandler.apply(this));
     }
 
-    void connecting(ConnectFuture future) {
-        connecting = future;
+    void onConnecting(ConnectFuture future) {
+        connectFuture = future;
         future.addListener(f -> {
             if (!((ConnectFuture) f).isConnected()) {
-                tellClosed();
+                onClosed();
             }
         });
     }
 
     /** Driver's thread: the connection is up, unless it is not wanted any more. */
-    void up(IoSession opened) {
-        session = opened;
-        if (abandoned) {
-            opened.closeNow();
+    void onOpened(IoSession openedSession) {
+        session = openedSession;
+        if (closeRequested) {
+            openedSession.closeNow();
         } else {
-            tell(() -> events.opened());
+            postEvent(() -> events.opened());
         }
     }
 
-    void tellReceived(byte[] bytes) {
-        if (finished) {
-            dropped += bytes.length;
-            if (dropped > MOST_DROPPED) {
+    void onReceived(byte[] bytes) {
+        if (outputShutDown) {
+            discardedBytes += bytes.length;
+            if (discardedBytes > MAX_DISCARDED_BYTES) {
                 session.closeNow();
             }
             return;
         }
-        reads++;
-        if (untold.addAndGet(bytes.length) > MOST_UNTOLD) {
-            read(true, null);
+        readCount++;
+        if (undeliveredBytes.addAndGet(bytes.length) > MAX_UNDELIVERED_BYTES) {
+            updateReading(true, null);
         }
         thread.post(() -> {
-            readsTold++;
-            boolean caughtUp = untold.addAndGet(-bytes.length) <= MOST_UNTOLD / 2;
-            if (!over) {
+            deliveredReads++;
+            boolean caughtUp = undeliveredBytes.addAndGet(-bytes.length) <= MAX_UNDELIVERED_BYTES / 2;
+            if (!closedDelivered) {
                 events.received(bytes);
             }
             if (caughtUp) {
-                read(false, null);
+                updateReading(false, null);
             }
         });
     }
 
     /** Each of the two that may stop the reading from the socket says so for itself. */
-    private synchronized void read(Boolean nowBehind, Boolean nowWanted) {
-        boolean before = wanted && !behind;
-        behind = nowBehind == null ? behind : nowBehind;
-        wanted = nowWanted == null ? wanted : nowWanted;
-        boolean after = wanted && !behind;
-        if (after && !before) {
+    private synchronized void updateReading(Boolean newBacklogged, Boolean newReadingRequested) {
+        boolean wasReading = readingRequested && !backlogged;
+        backlogged = newBacklogged == null ? backlogged : newBacklogged;
+        readingRequested = newReadingRequested == null ? readingRequested : newReadingRequested;
+        boolean isReading = readingRequested && !backlogged;
+        if (isReading && !wasReading) {
             session.resumeRead();
-        } else if (before && !after) {
+        } else if (wasReading && !isReading) {
             session.suspendRead();
         }
     }
 
-    void tellWritten() {
-        tell(() -> events.written());
+    void onWritten() {
+        postEvent(() -> events.written());
     }
 
-    void tellClosed() {
-        ended = true;
-        tell(() -> {
-            over = true;
+    void onClosed() {
+        disconnected = true;
+        postEvent(() -> {
+            closedDelivered = true;
             events.closed();
         });
     }
 
-    private void tell(Runnable event) {
+    private void postEvent(Runnable event) {
         thread.post(() -> {
-            if (!over) {
+            if (!closedDelivered) {
                 event.run();
             }
         });
@@ -135,22 +135,22 @@
 
     @Override
     public void write(byte[] bytes) {
-        IoSession s = session;
-        if (s != null && bytes.length > 0) {
-            s.write(IoBuffer.wrap(bytes));
+        IoSession currentSession = session;
+        if (currentSession != null && bytes.length > 0) {
+            currentSession.write(IoBuffer.wrap(bytes));
         }
     }
 
     @Override
     public void close() {
-        abandoned = true;
-        IoSession s = session;
-        if (s != null) {
-            s.closeNow();
+        closeRequested = true;
+        IoSession currentSession = session;
+        if (currentSession != null) {
+            currentSession.closeNow();
         } else {
             // Still connecting: nothing has been written, so its end can be told without waiting for MINA.
-            connecting.cancel();
-            tellClosed();
+            connectFuture.cancel();
+            onClosed();
         }
     }
 
@@ -160,33 +160,35 @@
      * that was read in the very moment in which its connection was closed as idle, and was lost.
      */
     @Override
-    public void finish(boolean inAnyCase) {
-        IoSession s = session;
-        int expected = inAnyCase ? IN_ANY_CASE : readsTold;
-        WriteFuture passed = new DefaultWriteFuture(s);
-        passed.addListener(f -> {
-            if (((WriteFuture) f).isWritten() && !finished && (expected == IN_ANY_CASE || expected == reads)) {
-                finished = true;
-                HalfClose.endOutput(s);
-                read(false, true); // the other side's end is to be seen
-                tell(() -> events.finished());
+    public void finish(boolean evenIfUnread) {
+        IoSession currentSession = session;
+        int expectedReads = evenIfUnread ? ANY_READ_COUNT : deliveredReads;
+        WriteFuture markerWritten = new DefaultWriteFuture(currentSession);
+        markerWritten.addListener(f -> {
+            if (((WriteFuture) f).isWritten()
+                    && !outputShutDown
+                    && (expectedReads == ANY_READ_COUNT || expectedReads == readCount)) {
+                outputShutDown = true;
+                HalfClose.shutdownOutput(currentSession);
+                updateReading(false, true); // the other side's end is to be seen
+                postEvent(() -> events.finished());
             }
         });
-        s.getFilterChain().fireFilterWrite(new DefaultWriteRequest(HalfClose.mark(), passed));
+        currentSession.getFilterChain().fireFilterWrite(new DefaultWriteRequest(HalfClose.marker(), markerWritten));
     }
 
     @Override
     public boolean unread() {
-        return untold.get() > 0;
+        return undeliveredBytes.get() > 0;
     }
 
     @Override
     public boolean over() {
-        return ended;
+        return disconnected;
     }
 
     @Override
     public void reading(boolean on) {
-        read(null, on);
+        updateReading(null, on);
     }
 }
--- a/balancer/src/main/java/baymoor/net/MinaNet.java
+++ b/balancer/src/main/java/baymoor/net/MinaNet.java
@@ -30,29 +30,29 @@
 /** All sockets of the program, on Apache MINA with one I/O processor: there is one core to share. */
 public final class MinaNet implements Dialer, PeerLink {
 
-    private static final String LINK = "link";
+    private static final String LINK_ATTRIBUTE = "link";
     private static final int BACKLOG = 512;
-    private static final int READ_BUFFER = 2048;
-    private static final int MOST_READ_BUFFER = 64 * 1024;
+    private static final int READ_BUFFER_BYTES = 2048;
+    private static final int MAX_READ_BUFFER_BYTES = 64 * 1024;
 
     private final DecisionThread thread;
     private final SimpleIoProcessorPool<NioSession> processors = new SimpleIoProcessorPool<>(NioProcessor.class, 1);
     private final NioSocketConnector connector = new NioSocketConnector(processors);
-    private final Gate gate;
+    private final ConnectionLimiter connectionLimiter;
     private final NioSocketAcceptor acceptor = new NioSocketAcceptor(processors) {
         @Override
         protected NioSession accept(IoProcessor<NioSession> processor, ServerSocketChannel handle) throws Exception {
-            gate.await();
+            connectionLimiter.awaitCapacity();
             NioSession session = super.accept(processor, handle);
             if (session != null) {
-                gate.entered();
+                connectionLimiter.connectionOpened();
             }
             return session;
         }
     };
-    private final Map<SocketAddress, Function<Link, LinkEvents>> listeners = new ConcurrentHashMap<>();
+    private final Map<SocketAddress, Function<Link, LinkEvents>> acceptHandlers = new ConcurrentHashMap<>();
     /** Who takes a connection at whatever address, while there is one listener only. */
-    private volatile Function<Link, LinkEvents> anyone;
+    private volatile Function<Link, LinkEvents> soleAcceptHandler;
 
     private NioDatagramAcceptor datagrams;
     private InetSocketAddress peerAddress;
@@ -62,10 +62,10 @@
         this(thread, 0);
     }
 
-    /** @param mostAccepted connections accepted and not over, past which the next ones wait in the listener's queue */
-    public MinaNet(DecisionThread thread, int mostAccepted) {
+    /** @param maxConnections connections accepted and not over, past which the next ones wait in the listener's queue */
+    public MinaNet(DecisionThread thread, int maxConnections) {
         this.thread = thread;
-        gate = new Gate(mostAccepted);
+        connectionLimiter = new ConnectionLimiter(maxConnections);
         connector.setHandler(new Handler(false));
         configure(connector.getSessionConfig());
         configure(acceptor.getSessionConfig());
@@ -74,8 +74,8 @@
     private static void configure(SocketSessionConfig config) {
         config.setTcpNoDelay(true);
         config.setReuseAddress(true);
-        config.setReadBufferSize(READ_BUFFER);
-        config.setMaxReadBufferSize(MOST_READ_BUFFER);
+        config.setReadBufferSize(READ_BUFFER_BYTES);
+        config.setMaxReadBufferSize(MAX_READ_BUFFER_BYTES);
         config.setIdleTime(IdleStatus.BOTH_IDLE, 0);
     }
 
@@ -83,52 +83,53 @@
      * Listens at an address, and gives the one that it got. It may be called again for further addresses, each with
      * listeners of its own; an address of all interfaces stands alone.
      */
-    public synchronized InetSocketAddress listen(InetSocketAddress address, Function<Link, LinkEvents> clients)
+    public synchronized InetSocketAddress listen(InetSocketAddress address, Function<Link, LinkEvents> acceptHandler)
             throws IOException {
-        if (listeners.isEmpty()) {
+        if (acceptHandlers.isEmpty()) {
             acceptor.setHandler(new Handler(true));
             acceptor.setReuseAddress(true);
             acceptor.setBacklog(BACKLOG);
         }
         if (address.getPort() != 0) { // known beforehand, so that the first connection finds it
-            listeners.put(address, clients);
+            acceptHandlers.put(address, acceptHandler);
         }
-        Set<SocketAddress> before = acceptor.getLocalAddresses();
-        anyone = listeners.size() <= 1 ? clients : null;
+        Set<SocketAddress> addressesBefore = acceptor.getLocalAddresses();
+        soleAcceptHandler = acceptHandlers.size() <= 1 ? acceptHandler : null;
         acceptor.bind(address);
-        Set<SocketAddress> after = acceptor.getLocalAddresses();
-        after.removeAll(before);
-        InetSocketAddress got = (InetSocketAddress) after.iterator().next();
-        listeners.put(got, clients);
-        return got;
+        Set<SocketAddress> addressesAfter = acceptor.getLocalAddresses();
+        addressesAfter.removeAll(addressesBefore);
+        InetSocketAddress boundAddress =
+                (InetSocketAddress) addressesAfter.iterator().next();
+        acceptHandlers.put(boundAddress, acceptHandler);
+        return boundAddress;
     }
 
     /** Listens no longer at one address; the connections there are stay. */
     public synchronized void stopListening(InetSocketAddress address) {
-        listeners.remove(address);
+        acceptHandlers.remove(address);
         acceptor.setCloseOnDeactivation(false);
         acceptor.unbind(address);
     }
 
     /** Takes no further connections; those there are stay. */
     public void stopListening() {
-        gate.open();
+        connectionLimiter.disable();
         acceptor.setCloseOnDeactivation(false);
         acceptor.unbind();
     }
 
     /** Receives datagrams at an address, which it gives back; they are sent from there too. */
-    public InetSocketAddress listenToPeers(InetSocketAddress address, BiConsumer<InetSocketAddress, byte[]> received)
-            throws IOException {
+    public InetSocketAddress listenToPeers(
+            InetSocketAddress address, BiConsumer<InetSocketAddress, byte[]> datagramHandler) throws IOException {
         datagrams = new NioDatagramAcceptor();
         datagrams.getSessionConfig().setReuseAddress(true);
-        datagrams.getSessionConfig().setReadBufferSize(READ_BUFFER);
+        datagrams.getSessionConfig().setReadBufferSize(READ_BUFFER_BYTES);
         datagrams.setHandler(new IoHandlerAdapter() {
             @Override
             public void messageReceived(IoSession session, Object message) {
-                byte[] bytes = bytes(message);
+                byte[] bytes = toBytes(message);
                 InetSocketAddress from = (InetSocketAddress) session.getRemoteAddress();
-                thread.post(() -> received.accept(from, bytes));
+                thread.post(() -> datagramHandler.accept(from, bytes));
             }
 
             @Override
@@ -143,7 +144,7 @@
 
     /** Closes all there is, for programs that go on without it. */
     public void close() {
-        gate.open();
+        connectionLimiter.disable();
         acceptor.dispose();
         connector.dispose();
         if (datagrams != null) {
@@ -162,13 +163,13 @@
     @Override
     public Link dial(InetSocketAddress to, LinkEvents events) {
         MinaLink link = new MinaLink(thread);
-        link.events(events);
-        ConnectFuture future = connector.connect(to, (session, f) -> session.setAttribute(LINK, link));
-        link.connecting(future);
+        link.setEvents(events);
+        ConnectFuture future = connector.connect(to, (session, f) -> session.setAttribute(LINK_ATTRIBUTE, link));
+        link.onConnecting(future);
         return link;
     }
 
-    private static byte[] bytes(Object message) {
+    private static byte[] toBytes(Object message) {
         IoBuffer buffer = (IoBuffer) message;
         byte[] bytes = new byte[buffer.remaining()];
         buffer.get(bytes);
@@ -177,41 +178,42 @@
 
     /** Hands what happens on a connection to its link. */
     private final class Handler extends IoHandlerAdapter {
-        private final boolean accepts;
+        private final boolean inbound;
 
-        Handler(boolean accepts) {
-            this.accepts = accepts;
+        Handler(boolean inbound) {
+            this.inbound = inbound;
         }
 
         private MinaLink link(IoSession session) {
-            return (MinaLink) session.getAttribute(LINK);
+            return (MinaLink) session.getAttribute(LINK_ATTRIBUTE);
         }
 
         @Override
         public void sessionCreated(IoSession session) {
-            if (accepts) {
-                Function<Link, LinkEvents> only = anyone;
-                Function<Link, LinkEvents> clients = only != null ? only : listeners.get(session.getLocalAddress());
+            if (inbound) {
+                Function<Link, LinkEvents> soleHandler = soleAcceptHandler;
+                Function<Link, LinkEvents> acceptHandler =
+                        soleHandler != null ? soleHandler : acceptHandlers.get(session.getLocalAddress());
                 MinaLink link = new MinaLink(thread);
-                session.setAttribute(LINK, link);
-                link.accepted(session, clients);
+                session.setAttribute(LINK_ATTRIBUTE, link);
+                link.onAccepted(session, acceptHandler);
             }
         }
 
         @Override
         public void sessionOpened(IoSession session) {
-            link(session).up(session);
+            link(session).onOpened(session);
         }
 
         @Override
         public void messageReceived(IoSession session, Object message) {
-            link(session).tellReceived(bytes(message));
+            link(session).onReceived(toBytes(message));
         }
 
         @Override
         public void messageSent(IoSession session, Object message) {
-            if (!HalfClose.isMark(message)) {
-                link(session).tellWritten();
+            if (!HalfClose.isMarker(message)) {
+                link(session).onWritten();
             }
         }
 
@@ -227,10 +229,10 @@
 
         @Override
         public void sessionClosed(IoSession session) {
-            if (accepts) {
-                gate.left();
+            if (inbound) {
+                connectionLimiter.connectionClosed();
             }
-            link(session).tellClosed();
+            link(session).onClosed();
         }
     }
 }
--- a/balancer/src/test/java/baymoor/net/GateTest.java
+++ b/balancer/src/test/java/baymoor/net/ConnectionLimiterTest.java
@@ -16,18 +16,18 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.Test;
 
-public class GateTest {
+public class ConnectionLimiterTest {
 
-    private static final int PATIENCE_SECONDS = 20;
+    private static final int TIMEOUT_SECONDS = 20;
 
     /** Danger: a crowd is accepted faster than room is made for it, until no descriptor is left to call anybody with. */
     @Test
-    public void whoIsPastTheBoundWaitsUntilAConnectionIsOver() throws Exception {
+    public void acceptingWaitsAtTheLimitUntilAConnectionCloses() throws Exception {
         DecisionThread thread = new DecisionThread(new Counters(), line -> {});
         MinaNet net = new MinaNet(thread, 3);
         new Thread(thread, "decisions").start();
         BlockingQueue<Link> links = new LinkedBlockingQueue<>();
-        InetSocketAddress at = net.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), link -> {
+        InetSocketAddress address = net.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), link -> {
             links.add(link);
             return new LinkEvents() {
                 @Override
@@ -43,21 +43,22 @@
                 public void closed() {}
             };
         });
-        long begun = System.nanoTime();
-        List<Socket> crowd = new ArrayList<>();
+        long startNanos = System.nanoTime();
+        List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            crowd.add(new Socket(at.getAddress(), at.getPort()));
+            clients.add(new Socket(address.getAddress(), address.getPort()));
         }
         for (int accepted = 1; accepted <= 20; accepted++) {
-            Link link = links.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
+            Link link = links.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
             assertNotNull("connection " + accepted, link);
-            long late = TimeUnit.NANOSECONDS.toSeconds(System.nanoTime() - begun); // one may pass each second
-            assertTrue(links.size() + " more", links.size() <= 2 + late);
+            long secondsElapsed =
+                    TimeUnit.NANOSECONDS.toSeconds(System.nanoTime() - startNanos); // one may pass each second
+            assertTrue(links.size() + " more", links.size() <= 2 + secondsElapsed);
             if (accepted >= 3) {
                 thread.post(link::close);
             }
         }
-        for (Socket socket : crowd) {
+        for (Socket socket : clients) {
             socket.close();
         }
         thread.stop();
@@ -65,16 +66,16 @@
     }
 
     @Test
-    public void aCountThatWasLostShutsOutNobodyForGood() throws Exception {
-        Gate gate = new Gate(1);
-        gate.entered();
-        long begun = System.nanoTime();
-        gate.await();
-        assertTrue(System.nanoTime() - begun >= 900_000_000L);
-        gate.left();
-        gate.await();
-        gate.entered();
-        gate.open();
-        gate.await();
+    public void waitingForCapacityTimesOutWhenACloseIsNeverCounted() throws Exception {
+        ConnectionLimiter limiter = new ConnectionLimiter(1);
+        limiter.connectionOpened();
+        long startNanos = System.nanoTime();
+        limiter.awaitCapacity();
+        assertTrue(System.nanoTime() - startNanos >= 900_000_000L);
+        limiter.connectionClosed();
+        limiter.awaitCapacity();
+        limiter.connectionOpened();
+        limiter.disable();
+        limiter.awaitCapacity();
     }
 }
--- a/balancer/src/test/java/baymoor/net/DecisionThreadTest.java
+++ b/balancer/src/test/java/baymoor/net/DecisionThreadTest.java
@@ -15,17 +15,17 @@
 public class DecisionThreadTest {
 
     @Test
-    public void tasksAndTimersRunInOrderAndAFailureIsOutlived() throws InterruptedException {
+    public void tasksAndTimersRunInOrderAndTheThreadSurvivesFailures() throws InterruptedException {
         Counters counters = new Counters();
         DecisionThread thread = new DecisionThread(counters, line -> {});
-        List<String> seen = new CopyOnWriteArrayList<>();
-        CountDownLatch end = new CountDownLatch(1);
+        List<String> executed = new CopyOnWriteArrayList<>();
+        CountDownLatch finished = new CountDownLatch(1);
         thread.post(() -> {
-            thread.after(2_000, () -> seen.add("later"));
-            thread.after(1_000, () -> seen.add("cancelled")).cancel();
-            thread.after(0, () -> seen.add("after the event"));
-            thread.after(3_000, end::countDown);
-            seen.add("event");
+            thread.after(2_000, () -> executed.add("later"));
+            thread.after(1_000, () -> executed.add("cancelled")).cancel();
+            thread.after(0, () -> executed.add("after the event"));
+            thread.after(3_000, finished::countDown);
+            executed.add("event");
         });
         thread.post(() -> {
             throw new IllegalStateException("a test's own");
@@ -35,49 +35,49 @@
         });
         Thread runner = new Thread(thread);
         runner.start();
-        assertTrue(end.await(10, TimeUnit.SECONDS));
-        assertEquals(List.of("event", "after the event", "later"), seen);
+        assertTrue(finished.await(10, TimeUnit.SECONDS));
+        assertEquals(List.of("event", "after the event", "later"), executed);
         assertEquals(2, counters.get(Count.TASK_FAILURES));
         thread.stop();
         runner.join(10_000);
     }
 
     @Test
-    public void whatCameInWhileTheThreadWasHeldUpIsToldBeforeTheTimersThatFellDueAfterIt() throws InterruptedException {
+    public void tasksPostedDuringAPauseRunBeforeTimersThatFellDueLater() throws InterruptedException {
         DecisionThread thread = new DecisionThread(new Counters(), line -> {});
-        List<String> seen = new CopyOnWriteArrayList<>();
-        CountDownLatch end = new CountDownLatch(1);
+        List<String> executed = new CopyOnWriteArrayList<>();
+        CountDownLatch finished = new CountDownLatch(1);
         thread.post(() -> {
-            thread.post(() -> seen.add("answer"));
+            thread.post(() -> executed.add("answer"));
             // The clock went on since this task began, by however long the machine held the thread up.
-            long heldUpMicros = thread.read() - thread.now();
-            thread.after(heldUpMicros + 20_000, () -> seen.add("time-out"));
-            thread.after(heldUpMicros + 20_000, end::countDown);
-            thread.after(0, () -> seen.add("the event's own"));
-            while (thread.read() < thread.now() + heldUpMicros + 30_000) {
+            long pauseMicros = thread.read() - thread.now();
+            thread.after(pauseMicros + 20_000, () -> executed.add("time-out"));
+            thread.after(pauseMicros + 20_000, finished::countDown);
+            thread.after(0, () -> executed.add("the event's own"));
+            while (thread.read() < thread.now() + pauseMicros + 30_000) {
                 Thread.onSpinWait();
             }
         });
         Thread runner = new Thread(thread);
         runner.start();
-        assertTrue(end.await(10, TimeUnit.SECONDS));
-        assertEquals(List.of("the event's own", "answer", "time-out"), seen);
+        assertTrue(finished.await(10, TimeUnit.SECONDS));
+        assertEquals(List.of("the event's own", "answer", "time-out"), executed);
         thread.stop();
         runner.join(10_000);
     }
 
     /** Danger: a waiter that spins till another thread goes on holds the program up where one thread runs at a time. */
     @Test
-    public void itWaitsOnAMonitorAndInNoQueueThatSpins() throws InterruptedException {
+    public void theIdleThreadWaitsOnAMonitorNotInAConcurrentQueue() throws InterruptedException {
         DecisionThread thread = new DecisionThread(new Counters(), line -> {});
-        CountDownLatch begun = new CountDownLatch(1);
+        CountDownLatch timerScheduled = new CountDownLatch(1);
         thread.post(() -> {
             thread.after(60_000_000, () -> {});
-            begun.countDown();
+            timerScheduled.countDown();
         });
         Thread runner = new Thread(thread);
         runner.start();
-        assertTrue(begun.await(10, TimeUnit.SECONDS));
+        assertTrue(timerScheduled.await(10, TimeUnit.SECONDS));
         while (runner.getState() != Thread.State.TIMED_WAITING) {
             Thread.onSpinWait();
         }
--- a/balancer/src/test/java/baymoor/net/MinaLinkTest.java
+++ b/balancer/src/test/java/baymoor/net/MinaLinkTest.java
@@ -23,13 +23,13 @@
 /** A connection's end against bytes that come in at that moment, over loopback; one of the two is held back for the other. */
 public class MinaLinkTest {
 
-    private static final int PATIENCE_SECONDS = 20;
+    private static final int TIMEOUT_SECONDS = 20;
     private final DecisionThread thread = new DecisionThread(new Counters(), line -> {});
     private final MinaNet net = new MinaNet(thread);
-    private final BlockingQueue<String> told = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> delivered = new LinkedBlockingQueue<>();
     private final BlockingQueue<Link> links = new LinkedBlockingQueue<>();
     /** What is done on the decision thread as bytes are told. */
-    private volatile Consumer<String> act = text -> {};
+    private volatile Consumer<String> onReceived = text -> {};
 
     private Socket client;
     private Link link;
@@ -37,7 +37,7 @@
     @Before
     public void connect() throws IOException, InterruptedException {
         new Thread(thread, "decisions").start();
-        InetSocketAddress at = net.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), l -> {
+        InetSocketAddress address = net.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), l -> {
             links.add(l);
             return new LinkEvents() {
                 @Override
@@ -46,8 +46,8 @@
                 @Override
                 public void received(byte[] bytes) {
                     String text = new String(bytes, StandardCharsets.US_ASCII);
-                    act.accept(text);
-                    told.add(text);
+                    onReceived.accept(text);
+                    delivered.add(text);
                 }
 
                 @Override
@@ -55,22 +55,22 @@
 
                 @Override
                 public void finished() {
-                    told.add("finished");
+                    delivered.add("finished");
                 }
 
                 @Override
                 public void closed() {
-                    told.add("closed");
+                    delivered.add("closed");
                 }
             };
         });
-        client = new Socket(at.getAddress(), at.getPort());
-        client.setSoTimeout((int) TimeUnit.SECONDS.toMillis(PATIENCE_SECONDS));
-        link = links.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
+        client = new Socket(address.getAddress(), address.getPort());
+        client.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_SECONDS));
+        link = links.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
     @After
-    public void end() throws IOException {
+    public void close() throws IOException {
         client.close();
         thread.stop();
         net.close();
@@ -84,122 +84,122 @@
         }
     }
 
-    private String next() throws InterruptedException {
-        return told.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
+    private String nextDelivered() throws InterruptedException {
+        return delivered.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
-    private void untilUnread() {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_SECONDS);
-        while (!link.unread() && System.nanoTime() < until) {
+    private void awaitUnread() {
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
+        while (!link.unread() && System.nanoTime() < deadlineNanos) {
             Thread.onSpinWait();
         }
     }
 
     @Test
-    public void whatCameInBeforeTheEndIsToldAndTheConnectionStays() throws Exception {
-        act = text -> {
-            act = more -> {};
+    public void finishIsIgnoredWhenUnreadBytesArrivedBeforeIt() throws Exception {
+        onReceived = text -> {
+            onReceived = more -> {};
             send("b");
-            untilUnread();
+            awaitUnread();
             link.finish(false);
         };
         send("a");
-        assertEquals("a", next());
-        assertEquals("b", next());
+        assertEquals("a", nextDelivered());
+        assertEquals("b", nextDelivered());
         thread.post(() -> link.write("answer\n".getBytes(StandardCharsets.US_ASCII)));
         assertEquals("answer", new String(client.getInputStream().readNBytes(6), StandardCharsets.US_ASCII));
-        assertTrue(told.isEmpty());
+        assertTrue(delivered.isEmpty());
     }
 
     /** Danger: the mark comes out after the bytes behind it were read and told, and takes the connection from under them. */
     @Test
-    public void anEndThatWasOrderedBeforeMoreCameInIsVoidAlsoAfterThatWasTold() throws Exception {
+    public void queuedFinishIsIgnoredWhenBytesAreDeliveredBeforeItTakesEffect() throws Exception {
         send("a");
-        assertEquals("a", next());
+        assertEquals("a", nextDelivered());
         // More than a socket holds goes ahead of the mark, so that it waits until the client reads.
-        byte[] much = new byte[8 << 20];
+        byte[] largeResponse = new byte[8 << 20];
         thread.post(() -> {
-            link.write(much);
+            link.write(largeResponse);
             link.finish(false);
         });
         send("b");
-        assertEquals("b", next());
-        assertEquals(much.length, client.getInputStream().readNBytes(much.length).length);
+        assertEquals("b", nextDelivered());
+        assertEquals(largeResponse.length, client.getInputStream().readNBytes(largeResponse.length).length);
         thread.post(() -> link.write(new byte[] {'x'}));
         assertEquals('x', client.getInputStream().read());
-        assertTrue(told.isEmpty());
+        assertTrue(delivered.isEmpty());
     }
 
     @Test
-    public void whatComesInAfterTheEndIsDroppedAndTheAnswerIsTakenWhole() throws Exception {
+    public void bytesReceivedAfterFinishAreDiscardedAndTheResponseArrivesWhole() throws Exception {
         byte[] answer = new byte[300_000];
-        act = text -> {
+        onReceived = text -> {
             link.write(answer);
             link.finish(false);
         };
         send("a");
-        assertEquals("a", next());
-        assertEquals("finished", next());
+        assertEquals("a", nextDelivered());
+        assertEquals("finished", nextDelivered());
         send("more");
         assertEquals(answer.length, client.getInputStream().readAllBytes().length);
         client.close();
-        assertEquals("closed", next());
+        assertEquals("closed", nextDelivered());
     }
 
     @Test
-    public void anEndInAnyCaseWaitsForNothingThatCameIn() throws Exception {
-        act = text -> {
-            act = more -> {};
+    public void finishEvenIfUnreadShutsDownOutputDespiteUnreadBytes() throws Exception {
+        onReceived = text -> {
+            onReceived = more -> {};
             send("b");
-            untilUnread();
+            awaitUnread();
             link.write(new byte[] {'x'});
             link.finish(true);
         };
         send("a");
         assertEquals('x', client.getInputStream().read());
         assertEquals("no reset", -1, client.getInputStream().read());
-        assertEquals("a", next());
-        assertEquals("b", next());
-        assertEquals("finished", next());
+        assertEquals("a", nextDelivered());
+        assertEquals("b", nextDelivered());
+        assertEquals("finished", nextDelivered());
     }
 
     @Test
-    public void whoSendsOnAfterTheEndIsCutOff() throws Exception {
-        act = text -> link.finish(true);
+    public void aClientThatKeepsSendingAfterFinishIsDisconnected() throws Exception {
+        onReceived = text -> link.finish(true);
         send("a");
-        assertEquals("a", next());
-        assertEquals("finished", next());
-        boolean cut = false;
+        assertEquals("a", nextDelivered());
+        assertEquals("finished", nextDelivered());
+        boolean connectionReset = false;
         byte[] more = new byte[1 << 16];
         try {
             for (int i = 0; i < 1000; i++) {
                 client.getOutputStream().write(more);
             }
         } catch (IOException e) {
-            cut = true;
+            connectionReset = true;
         }
-        assertTrue(cut);
-        assertEquals("closed", next());
+        assertTrue(connectionReset);
+        assertEquals("closed", nextDelivered());
         assertFalse(link.unread());
     }
 
     @Test
-    public void theOtherSidesEndIsKnownBeforeItIsTold() throws Exception {
-        act = text -> {
+    public void overIsTrueBeforeTheClosedEventIsDelivered() throws Exception {
+        onReceived = text -> {
             try {
                 client.close();
             } catch (IOException e) {
                 throw new java.io.UncheckedIOException(e);
             }
-            long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_SECONDS);
-            while (!link.over() && System.nanoTime() < until) {
+            long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
+            while (!link.over() && System.nanoTime() < deadlineNanos) {
                 Thread.onSpinWait();
             }
-            told.add("over " + link.over());
+            delivered.add("over " + link.over());
         };
         send("a");
-        assertEquals("over true", next());
-        assertEquals("a", next());
-        assertEquals("closed", next());
+        assertEquals("over true", nextDelivered());
+        assertEquals("a", nextDelivered());
+        assertEquals("closed", nextDelivered());
     }
 }
