--- a/balancer/src/main/java/baymoor/serve/Balancer.java
+++ b/balancer/src/main/java/baymoor/serve/Balancer.java
@@ -15,35 +15,35 @@
 final class Balancer {
 
     /** Of the heap, so that it bears what else there is beside the values of writes. */
-    private static final int VALUES_PART = 6;
+    private static final int WRITE_VALUE_HEAP_DIVISOR = 6;
 
-    private static final long DRAIN_GRACE_MICROS = 600_000;
+    private static final long DRAIN_TIMEOUT_MARGIN_MICROS = 600_000;
 
     private final Settings settings;
     private final Log log;
-    private final DecisionThread thread;
+    private final DecisionThread decisionThread;
     private final MinaNet net;
-    private final Assembly parts;
-    private final CountDownLatch ready = new CountDownLatch(1);
-    private final CountDownLatch ended = new CountDownLatch(1);
+    private final Assembly assembly;
+    private final CountDownLatch readyToListen = new CountDownLatch(1);
+    private final CountDownLatch drained = new CountDownLatch(1);
     private boolean listening;
-    private boolean ending;
+    private boolean draining;
 
     Balancer(Settings settings, Log log) {
         this.settings = settings;
         this.log = log;
         Counters counters = new Counters();
-        thread = new DecisionThread(counters, log);
-        net = new MinaNet(thread, Assembly.mostAccepted(settings));
-        long clocksApart = thread.read() - System.currentTimeMillis() * 1000;
-        parts = new Assembly(
+        decisionThread = new DecisionThread(counters, log);
+        net = new MinaNet(decisionThread, Assembly.mostAccepted(settings));
+        long clockOffsetMicros = decisionThread.read() - System.currentTimeMillis() * 1000;
+        assembly = new Assembly(
                 settings,
                 new Assembly.Surroundings(
-                        thread,
+                        decisionThread,
                         net,
                         net,
-                        sinceMillis -> sinceMillis * 1000 + clocksApart,
-                        Runtime.getRuntime().maxMemory() / VALUES_PART,
+                        unixMillis -> unixMillis * 1000 + clockOffsetMicros,
+                        Runtime.getRuntime().maxMemory() / WRITE_VALUE_HEAP_DIVISOR,
                         counters,
                         log));
     }
@@ -51,14 +51,14 @@
     /** Returns once it listens, or was told to end before that. */
     void start() throws IOException, InterruptedException {
         if (settings.peerListen() != null && settings.module().limits().mayTellPeers()) {
-            net.listenToPeers(settings.peerListen(), parts::heard);
+            net.listenToPeers(settings.peerListen(), assembly::heard);
         }
-        thread.post(() -> parts.start(ready::countDown));
-        new Thread(thread, "decisions").start();
-        ready.await();
+        decisionThread.post(() -> assembly.start(readyToListen::countDown));
+        new Thread(decisionThread, "decisions").start();
+        readyToListen.await();
         synchronized (this) {
-            if (!ending) {
-                net.listen(settings.listen(), parts::client);
+            if (!draining) {
+                net.listen(settings.listen(), assembly::client);
                 listening = true;
                 log.accept("listening: " + settings.listen().getAddress().getHostAddress() + ":"
                         + settings.listen().getPort());
@@ -66,30 +66,30 @@
         }
     }
 
-    void reload(Settings fresh) {
-        thread.post(() -> parts.reload(fresh));
+    void reload(Settings newSettings) {
+        decisionThread.post(() -> assembly.reload(newSettings));
     }
 
     /** Serves on for a while, then takes nothing new, answers all that was taken, and returns; at once before it listens. */
     void drain() {
         synchronized (this) {
-            ending = true;
+            draining = true;
             if (!listening) {
                 return;
             }
         }
-        thread.post(() ->
-                parts.drain(() -> new Thread(net::stopListening, "stop-listening").start(), ended::countDown));
+        decisionThread.post(() ->
+                assembly.drain(() -> new Thread(net::stopListening, "stop-listening").start(), drained::countDown));
         try {
-            ended.await(parts.mostDrainMicros() + DRAIN_GRACE_MICROS, TimeUnit.MICROSECONDS);
+            drained.await(assembly.mostDrainMicros() + DRAIN_TIMEOUT_MARGIN_MICROS, TimeUnit.MICROSECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        Map<String, String> values = new LinkedHashMap<>();
-        parts.counters().report().lines().forEach(line -> {
+        Map<String, String> counterValues = new LinkedHashMap<>();
+        assembly.counters().report().lines().forEach(line -> {
             int colon = line.indexOf(':');
-            values.put(line.substring(0, colon), line.substring(colon + 1));
+            counterValues.put(line.substring(0, colon), line.substring(colon + 1));
         });
-        log.event("INFO", "counters", values);
+        log.event("INFO", "counters", counterValues);
     }
 }
--- a/balancer/src/main/java/baymoor/serve/Reloads.java
+++ b/balancer/src/main/java/baymoor/serve/ConfigReloader.java
@@ -7,31 +7,31 @@
  * Reads the configuration again when that is asked for, one reading after another, so that the last one is the newest. What is
  * asked for while the program starts is done once it serves: the file may have been read before it was replaced.
  */
-final class Reloads {
+final class ConfigReloader {
 
     private Balancer balancer;
     private Log log;
-    private boolean asked;
+    private boolean reloadRequested;
 
     /** SIGHUP has come, on whatever thread. */
-    synchronized void asked() {
-        asked = true;
-        read();
+    synchronized void requestReload() {
+        reloadRequested = true;
+        reloadIfRequested();
     }
 
     /** From now on there is a balancer to hand it to. */
-    synchronized void serving(Balancer serves, Log logger) {
-        balancer = serves;
-        log = logger;
-        read();
+    synchronized void attach(Balancer runningBalancer, Log balancerLog) {
+        balancer = runningBalancer;
+        log = balancerLog;
+        reloadIfRequested();
     }
 
     /** A file that can't be used is logged, and what was read before stays. */
-    private void read() {
-        if (!asked || balancer == null) {
+    private void reloadIfRequested() {
+        if (!reloadRequested || balancer == null) {
             return;
         }
-        asked = false;
+        reloadRequested = false;
         try {
             balancer.reload(Config.read(System.getenv()));
         } catch (BadConfig | RuntimeException e) {
--- a/balancer/src/main/java/baymoor/serve/Log.java
+++ b/balancer/src/main/java/baymoor/serve/Log.java
@@ -27,7 +27,7 @@
         this.json = json;
     }
 
-    static Log ofEnvironment(Map<String, String> environment, String instance) {
+    static Log fromEnvironment(Map<String, String> environment, String instance) {
         return new Log(System.err, Clock.systemUTC(), instance, "json".equals(environment.get("ROUTER_LOG")));
     }
 
@@ -35,33 +35,34 @@
     @Override
     public void accept(String line) {
         int colon = line.indexOf(": ");
-        boolean named = colon > 0 && line.substring(0, colon).chars().allMatch(c -> c >= 'a' && c <= 'z' || c == ' ');
-        String event = named ? line.substring(0, colon).replace(' ', '-') : "note";
+        boolean hasEventName =
+                colon > 0 && line.substring(0, colon).chars().allMatch(c -> c >= 'a' && c <= 'z' || c == ' ');
+        String event = hasEventName ? line.substring(0, colon).replace(' ', '-') : "note";
         event(
                 event.endsWith("failed") ? "WARN" : "INFO",
                 event,
-                Map.of("detail", named ? line.substring(colon + 2) : line));
+                Map.of("detail", hasEventName ? line.substring(colon + 2) : line));
     }
 
     /**
      * As ISO 8601 has it. Measured: the JDK's formatters take 12 ms of a whole core when first used, which is the first line
      * of the first busy second, on the decision thread; a date's own text needs none of them and takes 1 ms.
      */
-    private static String time(long millis) {
+    private static String formatTime(long epochMillis) {
         String text = LocalDateTime.ofEpochSecond(
-                        Math.floorDiv(millis, 1000L), Math.floorMod(millis, 1000) * 1_000_000, ZoneOffset.UTC)
+                        Math.floorDiv(epochMillis, 1000L), Math.floorMod(epochMillis, 1000) * 1_000_000, ZoneOffset.UTC)
                 .toString();
-        String whole = text.length() == "2026-01-02T03:04".length() ? text + ":00" : text;
-        return whole.indexOf('.') < 0 ? whole + ".000Z" : whole + "Z";
+        String withSeconds = text.length() == "2026-01-02T03:04".length() ? text + ":00" : text;
+        return withSeconds.indexOf('.') < 0 ? withSeconds + ".000Z" : withSeconds + "Z";
     }
 
     /** @param values in the order in which they are to stand */
     void event(String level, String event, Map<String, String> values) {
-        String time = time(clock.millis());
+        String timestamp = formatTime(clock.millis());
         StringBuilder line = new StringBuilder();
         if (json) {
             line.append("{\"time\":")
-                    .append(JSONObject.quote(time))
+                    .append(JSONObject.quote(timestamp))
                     .append(",\"level\":\"")
                     .append(level)
                     .append("\",\"instance\":")
@@ -72,7 +73,7 @@
                     line.append(',').append(JSONObject.quote(name)).append(':').append(JSONObject.quote(value)));
             line.append('}');
         } else {
-            line.append(time)
+            line.append(timestamp)
                     .append(' ')
                     .append(level)
                     .append(' ')
--- a/balancer/src/main/java/baymoor/serve/Main.java
+++ b/balancer/src/main/java/baymoor/serve/Main.java
@@ -14,60 +14,60 @@
  */
 public final class Main {
 
-    private static final int USAGE = 2;
-    private static final int CANNOT_START = 1;
-    private static final int REHEARSED = 250;
+    private static final int EXIT_USAGE = 2;
+    private static final int EXIT_CANNOT_START = 1;
+    private static final int WARM_UP_REQUESTS = 250;
 
     private Main() {}
 
     /** Serves until it is told to end; {@code rehearse} plays the rehearsal alone and ends. */
     public static void main(String[] args) {
-        boolean rehearse = args.length == 1 && args[0].equals("rehearse");
-        if (!rehearse && (args.length != 1 || !args[0].equals("serve"))) {
+        boolean warmUpOnly = args.length == 1 && args[0].equals("rehearse");
+        if (!warmUpOnly && (args.length != 1 || !args[0].equals("serve"))) {
             System.err.println("usage: java -jar baymoor.jar serve");
-            System.exit(USAGE);
+            System.exit(EXIT_USAGE);
         }
-        Reloads reloads = new Reloads();
+        ConfigReloader reloader = new ConfigReloader();
         try {
             // First of all, since SIGHUP ends a JVM that does not handle it, and may come while this one starts.
-            boolean reachable = Hangup.handle(reloads::asked);
-            ConfigFile file = reachable
+            boolean sighupDelivered = SighupHandler.install(reloader::requestReload);
+            ConfigFileWatcher configFileWatcher = sighupDelivered
                     ? null
-                    : Config.file(System.getenv()).map(ConfigFile::new).orElse(null);
+                    : Config.file(System.getenv()).map(ConfigFileWatcher::new).orElse(null);
             Settings settings = Config.read(System.getenv());
-            Log log = Log.ofEnvironment(System.getenv(), settings.name());
+            Log log = Log.fromEnvironment(System.getenv(), settings.name());
             Balancer balancer = new Balancer(settings, log);
-            if (rehearse) { // with the balancer made, so that its classes are in the archive too
-                Rehearsal.full(settings, REHEARSED);
+            if (warmUpOnly) { // with the balancer made, so that its classes are in the archive too
+                WarmUp.runWithSockets(settings, WARM_UP_REQUESTS);
                 new Log(new PrintStream(OutputStream.nullOutputStream()), Clock.systemUTC(), "", false).accept("a: b");
                 System.exit(0);
             }
-            Rehearsal.play(settings.module(), REHEARSED);
+            WarmUp.run(settings.module(), WARM_UP_REQUESTS);
             // Before it listens: a SIGTERM between the two would leave what was taken by then unanswered.
-            if (atTheEnd(balancer::drain)) {
+            if (addShutdownHook(balancer::drain)) {
                 balancer.start();
-                reloads.serving(balancer, log);
-                if (file != null) {
+                reloader.attach(balancer, log);
+                if (configFileWatcher != null) {
                     log.accept("config: SIGHUP is ignored in this process, the file is looked at instead");
-                    file.watch(reloads::asked);
+                    configFileWatcher.watch(reloader::requestReload);
                 }
             }
         } catch (BadConfig e) {
             System.err.println(e.getMessage());
-            System.exit(CANNOT_START);
+            System.exit(EXIT_CANNOT_START);
         } catch (IOException | RuntimeException e) {
             System.err.println("can't listen: " + e.getMessage());
-            System.exit(CANNOT_START);
+            System.exit(EXIT_CANNOT_START);
         } catch (ReflectiveOperationException e) {
             System.err.println("can't handle SIGHUP: " + e);
-            System.exit(CANNOT_START);
+            System.exit(EXIT_CANNOT_START);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
     /** False where the program was told to end already: the JVM takes no hook any more. */
-    private static boolean atTheEnd(Runnable task) {
+    private static boolean addShutdownHook(Runnable task) {
         try {
             Runtime.getRuntime().addShutdownHook(new Thread(task, "drain"));
             return true;
--- a/balancer/src/main/java/baymoor/serve/Rehearsal.java
+++ b/balancer/src/main/java/baymoor/serve/WarmUp.java
@@ -28,62 +28,70 @@
  * the first client comes. Seen: on half a core the first requests of a new JVM took half a second, in which classes
  * were loaded and nothing compiled; clients gave up, and every host seemed silent.
  */
-final class Rehearsal {
+final class WarmUp {
 
     private static final int CLIENTS = 4;
-    private static final int REST_LANES = 64;
-    private static final long MOST_VALUE_BYTES = 1 << 20;
+    private static final int MAX_HOST_CONNECTIONS = 64;
+    private static final long MAX_VALUE_BYTES = 1 << 20;
     /** One in so many is a miss, and one a write of each kind: what goes to the origin is paced. */
-    private static final int VARIETY = 32;
+    private static final int VARIANT_INTERVAL = 32;
 
-    private static final long END_MILLIS = 1_000;
-    private static final byte[] HIT = RespWriter.ascii("*3\r\n$5\r\nvalue\r\n$3\r\nhit\r\n$-1\r\n");
-    private static final byte[] MISS = RespWriter.ascii("*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n");
-    private static final byte[] FETCHED = RespWriter.ascii("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nvalue");
+    private static final long TIMEOUT_MILLIS = 1_000;
+    private static final byte[] HIT_RESPONSE = RespWriter.ascii("*3\r\n$5\r\nvalue\r\n$3\r\nhit\r\n$-1\r\n");
+    private static final byte[] MISS_RESPONSE = RespWriter.ascii("*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n");
+    private static final byte[] ORIGIN_RESPONSE = RespWriter.ascii("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nvalue");
 
     private final DecisionThread thread = new DecisionThread(new Counters(), line -> {});
-    private final CountDownLatch played;
-    private final Decisions.Settings module;
+    private final CountDownLatch remainingRequests;
+    private final Decisions.Settings decisionSettings;
     private final North north;
-    private int asked;
+    private int requestsSent;
 
-    private Rehearsal(Decisions.Settings module, int requests) {
-        this.module = module;
-        played = new CountDownLatch(requests);
+    private WarmUp(Decisions.Settings decisionSettings, int requests) {
+        this.decisionSettings = decisionSettings;
+        remainingRequests = new CountDownLatch(requests);
         Counters counters = new Counters();
         Inventory inventory = new Inventory(millis -> millis, counters);
         Dispatcher dispatcher = new Dispatcher(
-                Decisions.start(module), module.limits(), module.classes(), thread, counters, line -> {});
+                Decisions.start(decisionSettings),
+                decisionSettings.limits(),
+                decisionSettings.classes(),
+                thread,
+                counters,
+                line -> {});
         north = new North(
                 thread,
                 counters,
-                module.classes().stream().map(Decisions.RequestClass::name).collect(Collectors.toSet()),
+                decisionSettings.classes().stream()
+                        .map(Decisions.RequestClass::name)
+                        .collect(Collectors.toSet()),
                 dispatcher,
                 CLIENTS,
                 CLIENTS,
-                MOST_VALUE_BYTES,
+                MAX_VALUE_BYTES,
                 counters::report);
-        int kind = module.origin().kind();
-        String origin =
-                kind >= 0 && kind < module.kinds().size() ? module.kinds().get(kind) : "";
+        int originKind = decisionSettings.origin().kind();
+        String origin = originKind >= 0 && originKind < decisionSettings.kinds().size()
+                ? decisionSettings.kinds().get(originKind)
+                : "";
         South south = new South(
-                (to, events) -> new Host(events),
+                (to, events) -> new StubHost(events),
                 thread,
                 counters,
                 inventory::entry,
                 origin,
                 List.of(),
-                module.limits(),
-                REST_LANES,
+                decisionSettings.limits(),
+                MAX_HOST_CONNECTIONS,
                 dispatcher);
         dispatcher.connect(
                 north, south, null, new Peers(List.of(), null, null, (to, content) -> {}, counters, dispatcher::heard));
-        String other = module.kinds().stream()
+        String cacheType = decisionSettings.kinds().stream()
                 .filter(k -> !k.equals(origin))
                 .findFirst()
                 .orElse("");
         thread.post(() -> dispatcher.listed(inventory.known(new JSONObject("{\"index\":1,\"endpoints\":["
-                + entry("a", other) + "," + entry("b", other) + "," + entry("o", origin) + "]}"))));
+                + entry("a", cacheType) + "," + entry("b", cacheType) + "," + entry("o", origin) + "]}"))));
     }
 
     private static String entry(String name, String type) {
@@ -96,41 +104,41 @@
     }
 
     /** Plays so many requests, or for a second; gives whether all were answered. */
-    static boolean play(Decisions.Settings module, int requests) {
-        if (module.classes().isEmpty()) {
+    static boolean run(Decisions.Settings decisionSettings, int requests) {
+        if (decisionSettings.classes().isEmpty()) {
             return false;
         }
-        Rehearsal rehearsal = new Rehearsal(module, requests);
+        WarmUp warmUp = new WarmUp(decisionSettings, requests);
         for (int i = 0; i < CLIENTS; i++) {
-            rehearsal.thread.post(() -> rehearsal.new Client().ask());
+            warmUp.thread.post(() -> warmUp.new StubClient().sendRequest());
         }
-        new Thread(rehearsal.thread, "rehearsal").start();
-        await(rehearsal.played);
-        rehearsal.thread.stop();
-        return rehearsal.played.getCount() == 0;
+        new Thread(warmUp.thread, "rehearsal").start();
+        await(warmUp.remainingRequests);
+        warmUp.thread.stop();
+        return warmUp.remainingRequests.getCount() == 0;
     }
 
     private static void await(CountDownLatch latch) {
         try {
-            latch.await(END_MILLIS, TimeUnit.MILLISECONDS);
+            latch.await(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
     /** As the build does it, for the archive of classes: the play, and one exchange over loopback each way. */
-    static void full(Settings settings, int requests) throws IOException {
-        play(settings.module(), requests);
-        Rehearsal sockets = new Rehearsal(settings.module(), 1);
-        new Thread(sockets.thread, "rehearsal").start();
-        MinaNet net = new MinaNet(sockets.thread);
-        InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-        CountDownLatch heard = new CountDownLatch(2);
-        InetSocketAddress peers = net.listenToPeers(any, (from, content) -> heard.countDown());
-        net.send(peers, new byte[1]);
-        InetSocketAddress at = net.listen(any, sockets.north::client);
+    static void runWithSockets(Settings settings, int requests) throws IOException {
+        run(settings.module(), requests);
+        WarmUp socketWarmUp = new WarmUp(settings.module(), 1);
+        new Thread(socketWarmUp.thread, "rehearsal").start();
+        MinaNet net = new MinaNet(socketWarmUp.thread);
+        InetSocketAddress anyPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+        CountDownLatch exchanges = new CountDownLatch(2);
+        InetSocketAddress peerAddress = net.listenToPeers(anyPort, (from, content) -> exchanges.countDown());
+        net.send(peerAddress, new byte[1]);
+        InetSocketAddress address = net.listen(anyPort, socketWarmUp.north::client);
         Link[] link = new Link[1];
-        link[0] = net.dial(at, new LinkEvents() {
+        link[0] = net.dial(address, new LinkEvents() {
             @Override
             public void opened() {
                 link[0].write(RespWriter.command(RespWriter.ascii("PING")));
@@ -138,7 +146,7 @@
 
             @Override
             public void received(byte[] bytes) {
-                heard.countDown();
+                exchanges.countDown();
                 link[0].close();
             }
 
@@ -148,21 +156,21 @@
             @Override
             public void closed() {}
         });
-        await(heard);
+        await(exchanges);
         net.stopListening();
     }
 
     /** A connection without a socket: what is written to it comes back as its other side's answer. */
-    private abstract class Stub implements Link {
+    private abstract class StubLink implements Link {
         LinkEvents events;
         private boolean closed;
 
-        abstract void wrote(byte[] bytes);
+        abstract void onWritten(byte[] bytes);
 
         @Override
         public void write(byte[] bytes) {
             thread.post(() -> events.written());
-            wrote(bytes);
+            onWritten(bytes);
         }
 
         @Override
@@ -174,7 +182,7 @@
         }
 
         @Override
-        public void finish(boolean inAnyCase) {
+        public void finish(boolean evenIfUnread) {
             close();
         }
 
@@ -192,34 +200,38 @@
         public void reading(boolean on) {}
     }
 
-    private final class Host extends Stub {
-        Host(LinkEvents listener) {
-            events = listener;
-            thread.post(listener::opened);
+    private final class StubHost extends StubLink {
+        StubHost(LinkEvents events) {
+            this.events = events;
+            thread.post(events::opened);
         }
 
         @Override
-        void wrote(byte[] bytes) {
-            byte[] answer = bytes[0] != '*' ? FETCHED : asked % VARIETY == 0 ? MISS : HIT;
+        void onWritten(byte[] bytes) {
+            byte[] answer = bytes[0] != '*'
+                    ? ORIGIN_RESPONSE
+                    : requestsSent % VARIANT_INTERVAL == 0 ? MISS_RESPONSE : HIT_RESPONSE;
             thread.post(() -> events.received(answer));
         }
     }
 
-    private final class Client extends Stub {
-        Client() {
+    private final class StubClient extends StubLink {
+        StubClient() {
             events = north.client(this);
         }
 
-        void ask() {
-            asked++;
-            int odd = asked % VARIETY;
-            Decisions.RequestClass kind =
-                    module.classes().get(odd < module.classes().size() ? odd : 0);
-            boolean write = kind.effect() != Decisions.Effect.SAFE;
+        void sendRequest() {
+            requestsSent++;
+            int variant = requestsSent % VARIANT_INTERVAL;
+            Decisions.RequestClass requestClass = decisionSettings
+                    .classes()
+                    .get(variant < decisionSettings.classes().size() ? variant : 0);
+            boolean write = requestClass.effect() != Decisions.Effect.SAFE;
             byte[] name = RespWriter.ascii(write ? "OBJ.SET" : "OBJ.GET");
-            byte[] key = RespWriter.ascii(Integer.toHexString(asked % 100));
-            byte[] id = RespWriter.ascii("rehearsal-" + asked);
-            byte[] facts = RespWriter.ascii("c=" + kind.name() + ",t=rehearsal,d=" + END_MILLIS + ",h=100,size=2.5");
+            byte[] key = RespWriter.ascii(Integer.toHexString(requestsSent % 100));
+            byte[] id = RespWriter.ascii("rehearsal-" + requestsSent);
+            byte[] facts = RespWriter.ascii(
+                    "c=" + requestClass.name() + ",t=rehearsal,d=" + TIMEOUT_MILLIS + ",h=100,size=2.5");
             byte[] command = write
                     ? RespWriter.command(name, key, id, facts, "value".getBytes(StandardCharsets.US_ASCII))
                     : RespWriter.command(name, key, id, facts);
@@ -227,10 +239,10 @@
         }
 
         @Override
-        void wrote(byte[] bytes) {
-            played.countDown();
-            if (played.getCount() > 0) {
-                ask();
+        void onWritten(byte[] bytes) {
+            remainingRequests.countDown();
+            if (remainingRequests.getCount() > 0) {
+                sendRequest();
             }
         }
     }
--- a/balancer/src/test/java/baymoor/serve/LogTest.java
+++ b/balancer/src/test/java/baymoor/serve/LogTest.java
@@ -16,33 +16,33 @@
 
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
 
-    private String said(boolean json, String line) {
+    private String logged(boolean json, String line) {
         Clock clock = Clock.fixed(Instant.parse("2026-01-02T03:04:05.678Z"), ZoneOffset.UTC);
         new Log(new PrintStream(out, true, StandardCharsets.UTF_8), clock, "n3", json).accept(line);
         return out.toString(StandardCharsets.UTF_8).trim();
     }
 
     @Test
-    public void aLineForPeopleHasTimeLevelInstanceAndEvent() {
+    public void aTextLineHasTimeLevelInstanceAndEvent() {
         assertEquals(
-                "2026-01-02T03:04:05.678Z INFO n3 config detail=\"read again\"", said(false, "config: read again"));
+                "2026-01-02T03:04:05.678Z INFO n3 config detail=\"read again\"", logged(false, "config: read again"));
     }
 
     @Test
-    public void aFailureIsAWarning() {
-        assertEquals("2026-01-02T03:04:05.678Z WARN n3 task-failed detail=now", said(false, "task failed: now"));
+    public void anEventNameEndingInFailedIsLoggedAsAWarning() {
+        assertEquals("2026-01-02T03:04:05.678Z WARN n3 task-failed detail=now", logged(false, "task failed: now"));
     }
 
     @Test
-    public void aLineForProgramsIsOneObjectWhateverItSays() {
-        JSONObject read = new JSONObject(said(true, "two \"words\"\nand a line: end"));
-        assertEquals("n3", read.getString("instance"));
-        assertEquals("note", read.getString("event"));
-        assertEquals("two \"words\"\nand a line: end", read.getString("detail"));
+    public void aJsonLineIsOneObjectWhateverTheMessageContains() {
+        JSONObject logLine = new JSONObject(logged(true, "two \"words\"\nand a line: end"));
+        assertEquals("n3", logLine.getString("instance"));
+        assertEquals("note", logLine.getString("event"));
+        assertEquals("two \"words\"\nand a line: end", logLine.getString("detail"));
     }
 
     @Test
-    public void everyTimeHasSecondsAndMilliseconds() {
+    public void everyTimestampHasSecondsAndMilliseconds() {
         for (String time : new String[] {
             "2026-01-02T03:04:00.000Z",
             "2026-01-02T03:04:05.000Z",
--- a/balancer/src/test/java/baymoor/serve/RehearsalTest.java
+++ b/balancer/src/test/java/baymoor/serve/WarmUpTest.java
@@ -13,18 +13,18 @@
 import org.junit.Test;
 
 /** What makes a start quick and keeps it within the memory. */
-public class RehearsalTest {
+public class WarmUpTest {
 
-    private static final String SMALLEST = "-Xms16m -Xmx16m";
+    private static final String SMALLEST_HEAP = "-Xms16m -Xmx16m";
 
     @Test
-    public void allThatIsRehearsedIsAnswered() throws Exception {
+    public void everyWarmUpRequestIsAnswered() throws Exception {
         String config = Files.readString(Path.of("deploy/rehearsal.json"));
-        assertTrue(Rehearsal.play(Config.parse(config, Map.of()).module(), 100));
+        assertTrue(WarmUp.run(Config.parse(config, Map.of()).module(), 100));
     }
 
     @Test
-    public void theHeapGoesWithTheMemoryThatTheConfigurationGrants() throws Exception {
+    public void theHeapOptionsFollowTheConfiguredMemoryLimit() throws Exception {
         String[][] cases = {
             {"{\"limits\":{\"memory_mb\":128}}", "-Xms48m -Xmx66m"},
             {"{\"limits\": {\"sockets\": 9, \"memory_mb\" : 64 }}", "-Xms18m -Xmx18m"},
@@ -32,22 +32,22 @@
             {"{\"limits\":{\"memory_mb\":2048}}", "-Xms48m -Xmx96m"},
             {"{\n \"limits\": {\n  \"memory_mb\"\n:\n128\n}}", "-Xms48m -Xmx66m"},
             {"{\"limits\":{\"memory_mb\":99999999999999999999}}", "-Xms48m -Xmx96m"},
-            {"{\"limits\":{\"memory_mb\":\"x64\"}}", SMALLEST},
-            {"{\"limits\":{\"memory_mb\":-5,\"sockets\":1024}}", SMALLEST},
-            {"{\"limits\":{\"memory_mb\":0128}}", SMALLEST},
-            {"{\"limits\":{\"memory_mb\":null,\"sockets\":1024}}", SMALLEST},
-            {"{\"sockets\":1024}", SMALLEST},
-            {"", SMALLEST},
+            {"{\"limits\":{\"memory_mb\":\"x64\"}}", SMALLEST_HEAP},
+            {"{\"limits\":{\"memory_mb\":-5,\"sockets\":1024}}", SMALLEST_HEAP},
+            {"{\"limits\":{\"memory_mb\":0128}}", SMALLEST_HEAP},
+            {"{\"limits\":{\"memory_mb\":null,\"sockets\":1024}}", SMALLEST_HEAP},
+            {"{\"sockets\":1024}", SMALLEST_HEAP},
+            {"", SMALLEST_HEAP},
         };
         Path file = Files.createTempFile("config", ".json");
         for (String[] c : cases) {
             Files.writeString(file, c[0]);
-            assertEquals(c[0], c[1], heap(file.toString()));
+            assertEquals(c[0], c[1], heapOptions(file.toString()));
         }
         Files.delete(file);
-        assertEquals(SMALLEST, heap(file.toString()));
-        assertEquals("a folder", SMALLEST, heap("deploy"));
-        assertEquals("not set", SMALLEST, heap(""));
+        assertEquals(SMALLEST_HEAP, heapOptions(file.toString()));
+        assertEquals("a folder", SMALLEST_HEAP, heapOptions("deploy"));
+        assertEquals("not set", SMALLEST_HEAP, heapOptions(""));
     }
 
     /**
@@ -55,22 +55,22 @@
      * as programs write it, and on lines of their own.
      */
     @Test(timeout = 120_000)
-    public void aLongListBeforeTheLimitsCostsNoMoreThanItsLength() throws Exception {
+    public void readingTheMemoryLimitTakesTimeLinearInTheFileSize() throws Exception {
         Path file = Files.createTempFile("config", ".json");
-        for (String between : new String[] {"", "\n "}) {
-            String router = between + "{\"name\":\"s-0444a832\"," + between + "\"address\":\"127.11.0.2:6379\","
-                    + between + "\"status\":\"in_service\"," + between + "\"zone\":\"* [a-z]? memory\"}";
+        for (String separator : new String[] {"", "\n "}) {
+            String router = separator + "{\"name\":\"s-0444a832\"," + separator + "\"address\":\"127.11.0.2:6379\","
+                    + separator + "\"status\":\"in_service\"," + separator + "\"zone\":\"* [a-z]? memory\"}";
             Files.writeString(
                     file,
                     "{\"known\":{\"endpoints\":[" + String.join(",", Collections.nCopies(5_000, router)) + "]},"
-                            + between + "\"limits\":{\"memory_mb\":128}}");
-            assertEquals("-Xms48m -Xmx66m", heap(file.toString()));
+                            + separator + "\"limits\":{\"memory_mb\":128}}");
+            assertEquals("-Xms48m -Xmx66m", heapOptions(file.toString()));
         }
         Files.delete(file);
     }
 
     /** What a shell that may start nothing else makes of the file: with no PATH there is no program to be found. */
-    private static String heap(String file) throws Exception {
+    private static String heapOptions(String file) throws Exception {
         ProcessBuilder shell = new ProcessBuilder("/bin/sh", "-c", "PATH=; . ./deploy/heap.sh; echo \"$heap\"");
         shell.environment().put("ROUTER_CONFIG", file);
         shell.redirectErrorStream(true);
@@ -79,23 +79,26 @@
 
     /** Danger: where the platform refuses fork, a subshell or a pipe in the start line is a balancer that never starts. */
     @Test
-    public void theStartLineIsOneProcess() throws Exception {
-        String run = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
+    public void theStartCommandForksNoProcess() throws Exception {
+        String runCommand = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
                 .filter(line -> line.startsWith("run = "))
                 .findFirst()
                 .orElseThrow();
-        for (String words : new String[] {
-            run,
+        for (String script : new String[] {
+            runCommand,
             String.join(
                     "\n",
                     Files.readAllLines(Path.of("deploy/heap.sh")).stream()
                             .filter(line -> !line.startsWith("#"))
                             .toList())
         }) {
-            assertFalse(words, words.contains("$(") && !words.contains("$((") || words.contains("`"));
-            String plain = words.replace("||", "").replace("&&", "").replace("'' | 0*)", "");
-            assertFalse(words, plain.contains("|") || plain.contains("&"));
+            assertFalse(script, script.contains("$(") && !script.contains("$((") || script.contains("`"));
+            String withoutLogicalOperators =
+                    script.replace("||", "").replace("&&", "").replace("'' | 0*)", "");
+            assertFalse(script, withoutLogicalOperators.contains("|") || withoutLogicalOperators.contains("&"));
         }
-        assertTrue(run, run.contains("; exec java ") && run.contains("-Djava.net.preferIPv4Stack=true"));
+        assertTrue(
+                runCommand,
+                runCommand.contains("; exec java ") && runCommand.contains("-Djava.net.preferIPv4Stack=true"));
     }
 }
