--- a/balancer/src/main/java/baymoor/counters/Counters.java
+++ b/balancer/src/main/java/baymoor/counters/Counters.java
@@ -9,25 +9,25 @@
     private final AtomicLongArray values = new AtomicLongArray(Count.values().length);
 
     /** Adds one to a counter. */
-    public void add(Count what) {
-        values.incrementAndGet(what.ordinal());
+    public void add(Count counter) {
+        values.incrementAndGet(counter.ordinal());
     }
 
     /** The present value of a counter. */
-    public long get(Count what) {
-        return values.get(what.ordinal());
+    public long get(Count counter) {
+        return values.get(counter.ordinal());
     }
 
     /** One line a counter, {@code name:value}, zeros included so that a missing name is never a question. */
     public String report() {
-        StringBuilder text = new StringBuilder();
-        for (Count c : Count.values()) {
-            text.append(c.name().toLowerCase(Locale.ROOT))
+        StringBuilder lines = new StringBuilder();
+        for (Count counter : Count.values()) {
+            lines.append(counter.name().toLowerCase(Locale.ROOT))
                     .append(':')
-                    .append(get(c))
+                    .append(get(counter))
                     .append('\n');
         }
-        return text.append("invariants_broken:")
+        return lines.append("invariants_broken:")
                 .append(Invariant.broken())
                 .append('\n')
                 .toString();
--- a/balancer/src/test/java/baymoor/World.java
+++ b/balancer/src/test/java/baymoor/BalancerEnvironment.java
@@ -28,42 +28,42 @@
 import java.util.stream.Stream;
 
 /** What the built program needs round it, on free loopback ports: discovery, routers, an origin and clients. */
-final class World implements Closeable {
+final class BalancerEnvironment implements Closeable {
 
-    private static final int PATIENCE_MILLIS = 20_000;
-    private final List<Closeable> open = new CopyOnWriteArrayList<>();
-    private final List<OutputStream> watches = new CopyOnWriteArrayList<>();
+    private static final int TIMEOUT_MILLIS = 20_000;
+    private final List<Closeable> resources = new CopyOnWriteArrayList<>();
+    private final List<OutputStream> watchOutputs = new CopyOnWriteArrayList<>();
     private final List<String> endpoints = new ArrayList<>();
-    private final CountDownLatch watched = new CountDownLatch(1);
-    private final BlockingQueue<Integer> watchedAt = new LinkedBlockingQueue<>();
-    private final Socket reserved = reservedPort();
-    private final int port = reserved.getLocalPort();
-    private final BlockingQueue<Call> calls = new LinkedBlockingQueue<>();
-    private volatile boolean scripted;
-    private boolean pushed;
+    private final CountDownLatch watchStarted = new CountDownLatch(1);
+    private final BlockingQueue<Integer> watchPorts = new LinkedBlockingQueue<>();
+    private final Socket reservedSocket = reservePort();
+    private final int port = reservedSocket.getLocalPort();
+    private final BlockingQueue<DiscoveryCall> discoveryCalls = new LinkedBlockingQueue<>();
+    private volatile boolean scriptsDiscovery;
+    private boolean pushesLists;
     private boolean ignoresSighup;
-    private final Map<String, String> replaced = new LinkedHashMap<>();
+    private final Map<String, String> replacements = new LinkedHashMap<>();
     private Process process;
-    private BufferedReader errors;
-    private Path file;
+    private BufferedReader errorOutput;
+    private Path configFile;
 
     /** One message that a router or the origin got, and when. */
-    record Got(List<String> words, long nanos) {}
+    record ReceivedMessage(List<String> parts, long receivedNanos) {}
 
     /** A router or origin: {@code answer} gives its answer, null for silence, "close" to break the connection. */
-    final class Server {
-        final List<Got> got = new CopyOnWriteArrayList<>();
+    final class StubServer {
+        final List<ReceivedMessage> received = new CopyOnWriteArrayList<>();
         final int port;
         volatile Function<List<String>, String> answer;
 
-        Server(boolean http, Function<List<String>, String> answer) throws IOException {
+        StubServer(boolean http, Function<List<String>, String> answer) throws IOException {
             this.answer = answer;
             port = listen(socket -> {
                 InputStream in = new BufferedInputStream(socket.getInputStream());
                 while (true) {
-                    List<String> words = http ? request(in) : command(in);
-                    got.add(new Got(words, System.nanoTime()));
-                    String text = this.answer.apply(words);
+                    List<String> parts = http ? readHttpRequest(in) : readCommand(in);
+                    received.add(new ReceivedMessage(parts, System.nanoTime()));
+                    String text = this.answer.apply(parts);
                     if ("close".equals(text)) {
                         return;
                     }
@@ -75,41 +75,41 @@
         }
     }
 
-    /** A router or origin whose machine takes no connection up until {@link #answers} is counted down. */
-    final class Late {
-        final BlockingQueue<List<String>> got = new LinkedBlockingQueue<>();
-        final CountDownLatch answers = new CountDownLatch(1);
+    /** A router or origin whose machine takes no connection up until {@link #acceptConnections} is counted down. */
+    final class DelayedServer {
+        final BlockingQueue<List<String>> received = new LinkedBlockingQueue<>();
+        final CountDownLatch acceptConnections = new CountDownLatch(1);
 
         /** A router. */
-        Late(String name, String answer) throws IOException {
-            this(name, "two-core", words -> answer);
+        DelayedServer(String name, String answer) throws IOException {
+            this(name, "two-core", parts -> answer);
         }
 
         /** @param type the type that discovery tells, {@code origin} for one that speaks HTTP */
-        Late(String name, String type, Function<List<String>, String> answer) throws IOException {
+        DelayedServer(String name, String type, Function<List<String>, String> answer) throws IOException {
             boolean http = type.equals("origin");
             ServerSocket server = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
-            open.add(server);
+            resources.add(server);
             // So many fill its queue: further calls are passed over, and come again after a second.
             for (int i = 0; i < 2; i++) {
-                open.add(new Socket(server.getInetAddress(), server.getLocalPort()));
+                resources.add(new Socket(server.getInetAddress(), server.getLocalPort()));
             }
             endpoints.add(endpoint(name, server.getLocalPort(), type, "in_service", 0));
-            daemon(() -> {
+            startDaemon(() -> {
                 try {
-                    answers.await();
+                    acceptConnections.await();
                 } catch (InterruptedException e) {
                     return;
                 }
                 while (true) {
                     Socket socket = server.accept();
-                    open.add(socket);
-                    daemon(() -> {
+                    resources.add(socket);
+                    startDaemon(() -> {
                         InputStream in = new BufferedInputStream(socket.getInputStream());
                         while (true) {
-                            List<String> words = http ? request(in) : command(in);
-                            got.add(words);
-                            socket.getOutputStream().write(answer.apply(words).getBytes(StandardCharsets.ISO_8859_1));
+                            List<String> parts = http ? readHttpRequest(in) : readCommand(in);
+                            received.add(parts);
+                            socket.getOutputStream().write(answer.apply(parts).getBytes(StandardCharsets.ISO_8859_1));
                         }
                     });
                 }
@@ -117,26 +117,26 @@
         }
 
         /** The first command that comes, or null. */
-        List<String> first() throws InterruptedException {
-            return got.poll(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
+        List<String> awaitRequest() throws InterruptedException {
+            return received.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
     @FunctionalInterface
-    private interface Talk {
-        void with(Socket socket) throws IOException;
+    private interface ConnectionHandler {
+        void handle(Socket socket) throws IOException;
     }
 
-    private int listen(Talk talk) throws IOException {
+    private int listen(ConnectionHandler handler) throws IOException {
         ServerSocket server = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
-        open.add(server);
-        daemon(() -> {
+        resources.add(server);
+        startDaemon(() -> {
             while (true) {
                 Socket socket = server.accept();
-                open.add(socket);
-                daemon(() -> {
+                resources.add(socket);
+                startDaemon(() -> {
                     try (socket) {
-                        talk.with(socket);
+                        handler.handle(socket);
                     }
                 });
             }
@@ -144,14 +144,14 @@
         return server.getLocalPort();
     }
 
-    private interface Work {
+    private interface IoTask {
         void run() throws IOException;
     }
 
-    private static void daemon(Work work) {
+    private static void startDaemon(IoTask task) {
         Thread thread = new Thread(() -> {
             try {
-                work.run();
+                task.run();
             } catch (IOException e) {
                 // The other side, or the end of the test, has closed it.
             }
@@ -160,14 +160,14 @@
         thread.start();
     }
 
-    Server router(String name, long sinceMillis, Function<List<String>, String> answer) throws IOException {
-        Server server = new Server(false, answer);
+    StubServer router(String name, long sinceMillis, Function<List<String>, String> answer) throws IOException {
+        StubServer server = new StubServer(false, answer);
         endpoints.add(endpoint(name, server.port, "two-core", "in_service", sinceMillis));
         return server;
     }
 
-    Server origin(Function<List<String>, String> answer) throws IOException {
-        Server server = new Server(true, answer);
+    StubServer origin(Function<List<String>, String> answer) throws IOException {
+        StubServer server = new StubServer(true, answer);
         endpoints.add(endpoint("s-origin", server.port, "origin", "in_service", 0));
         return server;
     }
@@ -178,33 +178,33 @@
     }
 
     /** Tells a change on every watch, once there is one. */
-    void tell(int index, String endpoint) throws IOException, InterruptedException {
-        if (!watched.await(PATIENCE_MILLIS, TimeUnit.MILLISECONDS)) {
+    void publish(int index, String endpoint) throws IOException, InterruptedException {
+        if (!watchStarted.await(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
             throw new IOException("the program does not watch");
         }
-        for (OutputStream watch : watches) {
-            line(watch, "{\"index\":" + index + ",\"snapshot\":false,\"endpoints\":[" + endpoint + "]}\n");
+        for (OutputStream watch : watchOutputs) {
+            writeChunk(watch, "{\"index\":" + index + ",\"snapshot\":false,\"endpoints\":[" + endpoint + "]}\n");
         }
     }
 
-    private static void line(OutputStream out, String text) throws IOException {
+    private static void writeChunk(OutputStream out, String text) throws IOException {
         out.write((Integer.toHexString(text.length()) + "\r\n" + text + "\r\n").getBytes(StandardCharsets.US_ASCII));
         out.flush();
     }
 
     /** A call for the list that a test answers by itself. */
-    final class Call {
-        final long nanos = System.nanoTime();
+    final class DiscoveryCall {
+        final long receivedNanos = System.nanoTime();
         final String target;
         private final Socket socket;
 
-        Call(String target, Socket socket) {
+        DiscoveryCall(String target, Socket socket) {
             this.target = target;
             this.socket = socket;
         }
 
         /** Ends it with no answer. */
-        void refuse() throws IOException {
+        void closeUnanswered() throws IOException {
             socket.close();
         }
 
@@ -214,105 +214,105 @@
         }
 
         /** The head of a watch. */
-        Call watched() throws IOException {
-            head(socket.getOutputStream());
+        DiscoveryCall startWatch() throws IOException {
+            writeHeader(socket.getOutputStream());
             return this;
         }
 
-        Call says(String object) throws IOException {
-            World.line(socket.getOutputStream(), object + "\n");
+        DiscoveryCall sendChunk(String object) throws IOException {
+            BalancerEnvironment.writeChunk(socket.getOutputStream(), object + "\n");
             return this;
         }
     }
 
     /** The list with all routers and origins in service. */
-    String whole(int index) {
+    String fullList(int index) {
         return "{\"index\":" + index + ",\"snapshot\":true,\"endpoints\":[" + String.join(",", endpoints) + "]}";
     }
 
     /** From now on the calls for lists are answered by the test, each got from here. */
-    World scripted() {
-        scripted = true;
+    BalancerEnvironment scriptingDiscovery() {
+        scriptsDiscovery = true;
         return this;
     }
 
     /** The next call for the list. */
-    Call called() throws InterruptedException {
-        return calls.poll(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
+    DiscoveryCall awaitDiscoveryCall() throws InterruptedException {
+        return discoveryCalls.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private static void head(OutputStream out) throws IOException {
+    private static void writeHeader(OutputStream out) throws IOException {
         out.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
     }
 
     /** Another discovery, which tells the same list; its port. */
-    private int discovery() throws IOException {
+    private int startDiscovery() throws IOException {
         return listen(socket -> {
             InputStream in = new BufferedInputStream(socket.getInputStream());
-            String target = request(in).get(0);
-            if (scripted) {
-                calls.add(new Call(target, socket));
+            String target = readHttpRequest(in).get(0);
+            if (scriptsDiscovery) {
+                discoveryCalls.add(new DiscoveryCall(target, socket));
                 in.read();
                 return;
             }
             OutputStream out = socket.getOutputStream();
-            head(out);
-            line(out, whole(1) + "\n");
-            watches.add(out);
-            watched.countDown();
-            watchedAt.add(socket.getLocalPort());
+            writeHeader(out);
+            writeChunk(out, fullList(1) + "\n");
+            watchOutputs.add(out);
+            watchStarted.countDown();
+            watchPorts.add(socket.getLocalPort());
             in.read();
         });
     }
 
     String config() throws IOException {
         String config =
-                "{\"name\":\"n0\",\"listen\":\"127.0.0.1:" + port + "\",\"discovery\":\"127.0.0.1:" + discovery()
+                "{\"name\":\"n0\",\"listen\":\"127.0.0.1:" + port + "\",\"discovery\":\"127.0.0.1:" + startDiscovery()
                         + "\","
                         + "\"seed\":\"1f\",\"limits\":{\"sockets\":1024,\"memory_mb\":128},\"known\":{\"index\":0,\"endpoints\":["
                         + String.join(",", endpoints) + "]},\"settings\":"
                         + Files.readString(Path.of("balancer/src/test/resources/settings.json"))
-                                .replace("subscribe", pushed ? "automatic" : "subscribe")
+                                .replace("subscribe", pushesLists ? "automatic" : "subscribe")
                         + "}";
-        for (Map.Entry<String, String> each : replaced.entrySet()) {
-            config = config.replace(each.getKey(), each.getValue());
+        for (Map.Entry<String, String> replacement : replacements.entrySet()) {
+            config = config.replace(replacement.getKey(), replacement.getValue());
         }
         return config;
     }
 
     /** From now on configurations hold another text in the place of one of theirs. */
-    World with(String was, String is) {
-        replaced.put(was, is);
+    BalancerEnvironment replacing(String oldText, String newText) {
+        replacements.put(oldText, newText);
         return this;
     }
 
     /** From now on programs are started as nohup would: with SIGHUP ignored. */
-    World ignoringSighup() {
+    BalancerEnvironment ignoringSighup() {
         ignoresSighup = true;
         return this;
     }
 
     /** From now on configurations say that lists are pushed: the discovery is the agent of this machine. */
-    World pushed() {
-        pushed = true;
+    BalancerEnvironment pushingLists() {
+        pushesLists = true;
         return this;
     }
 
     /** Starts the built program by the deploy file's own line, with assertions on, and waits until it answers. */
-    World start() throws IOException {
+    BalancerEnvironment start() throws IOException {
         process = launch(config());
-        return awaited();
+        return awaitReady();
     }
 
     /** How many descriptors the program holds. */
-    long descriptors() throws IOException {
+    long openDescriptors() throws IOException {
         try (Stream<Path> all = Files.list(Path.of("/proc/" + process.pid() + "/fd"))) {
             return all.count();
         }
     }
 
     /** Whether somebody listens where the program is to. */
-    boolean listens() {
+    boolean isListening() {
         try (Client client = client()) {
             return client.socket().isConnected();
         } catch (IOException e) {
@@ -321,16 +321,16 @@
     }
 
     /** Waits until the program that was launched answers. */
-    World awaited() throws IOException {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PATIENCE_MILLIS);
+    BalancerEnvironment awaitReady() throws IOException {
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MILLIS);
         while (true) {
             try (Client client = client()) {
                 client.send("PING");
-                if (client.line().equals("+PONG")) {
+                if (client.readLine().equals("+PONG")) {
                     return this;
                 }
             } catch (IOException e) {
-                if (!process.isAlive() || System.nanoTime() > until) {
+                if (!process.isAlive() || System.nanoTime() > deadlineNanos) {
                     throw e;
                 }
                 Thread.onSpinWait();
@@ -339,23 +339,23 @@
     }
 
     Process launch(String config) throws IOException {
-        file = Files.createTempFile("config", ".json");
-        Path made = file;
-        open.add(() -> Files.deleteIfExists(made));
-        Files.writeString(file, config);
+        configFile = Files.createTempFile("config", ".json");
+        Path createdFile = configFile;
+        resources.add(() -> Files.deleteIfExists(createdFile));
+        Files.writeString(configFile, config);
         String signals = ignoresSighup ? "trap '' HUP; " : "";
-        ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", signals + deployed("run"));
-        builder.environment().put("ROUTER_CONFIG", file.toString());
+        ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", signals + deployCommand("run"));
+        builder.environment().put("ROUTER_CONFIG", configFile.toString());
         process = builder.redirectOutput(ProcessBuilder.Redirect.DISCARD).start();
-        errors = new BufferedReader(new InputStreamReader(process.getErrorStream(), StandardCharsets.UTF_8));
+        errorOutput = new BufferedReader(new InputStreamReader(process.getErrorStream(), StandardCharsets.UTF_8));
         return process;
     }
 
     /** A command of the deploy file, with assertions on. */
-    static String deployed(String name) throws IOException {
+    static String deployCommand(String name) throws IOException {
         String start = name + " = \"";
         return Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
-                .filter(l -> l.startsWith(start))
+                .filter(line -> line.startsWith(start))
                 .findFirst()
                 .orElseThrow()
                 .substring(start.length())
@@ -365,37 +365,37 @@
 
     /** Replaces the configuration file and sends SIGHUP. */
     void reload(String config) throws IOException, InterruptedException {
-        Files.writeString(file, config);
+        Files.writeString(configFile, config);
         new ProcessBuilder("/bin/kill", "-HUP", Long.toString(process.pid()))
                 .start()
                 .waitFor();
     }
 
     /** The port of the next discovery that is watched. */
-    int watchedAt() throws InterruptedException {
-        Integer port = watchedAt.poll(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
+    int awaitWatchPort() throws InterruptedException {
+        Integer port = watchPorts.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         return port == null ? -1 : port;
     }
 
     /** The next line on the program's standard error that holds a text. */
-    String said(String text) throws IOException {
-        String line = errors.readLine();
+    String awaitLogLine(String text) throws IOException {
+        String line = errorOutput.readLine();
         while (line != null && !line.contains(text)) {
-            line = errors.readLine();
+            line = errorOutput.readLine();
         }
         return line;
     }
 
     /** Waits until the program's counters hold a line. */
-    void counted(String line) throws IOException {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PATIENCE_MILLIS);
+    void awaitCounter(String line) throws IOException {
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MILLIS);
         try (Client client = client()) {
-            String counters = client.ask("INFO");
+            String counters = client.request("INFO");
             while (!counters.contains(line + "\n")) {
-                if (System.nanoTime() > until) {
+                if (System.nanoTime() > deadlineNanos) {
                     throw new IOException("no " + line + " in " + counters);
                 }
-                counters = client.ask("INFO");
+                counters = client.request("INFO");
             }
         }
     }
@@ -412,44 +412,48 @@
     record Client(Socket socket) implements Closeable {
         Client {
             try {
-                socket.setSoTimeout(PATIENCE_MILLIS);
+                socket.setSoTimeout(TIMEOUT_MILLIS);
             } catch (IOException e) {
                 throw new java.io.UncheckedIOException(e);
             }
         }
 
-        static String text(String... words) {
-            StringBuilder text = new StringBuilder("*" + words.length + "\r\n");
-            for (String w : words) {
-                text.append('$').append(w.length()).append("\r\n").append(w).append("\r\n");
+        static String encode(String... parts) {
+            StringBuilder text = new StringBuilder("*" + parts.length + "\r\n");
+            for (String part : parts) {
+                text.append('$')
+                        .append(part.length())
+                        .append("\r\n")
+                        .append(part)
+                        .append("\r\n");
             }
             return text.toString();
         }
 
-        void send(String... words) throws IOException {
-            raw(text(words));
+        void send(String... parts) throws IOException {
+            sendRaw(encode(parts));
         }
 
-        void raw(String text) throws IOException {
+        void sendRaw(String text) throws IOException {
             socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
         }
 
-        String line() throws IOException {
-            return World.line(socket.getInputStream());
+        String readLine() throws IOException {
+            return BalancerEnvironment.readLine(socket.getInputStream());
         }
 
         /** An answer: an error line, or the text of a bulk string. */
-        String answer() throws IOException {
-            String head = line();
-            if (!head.startsWith("$")) {
-                return head;
+        String readAnswer() throws IOException {
+            String header = readLine();
+            if (!header.startsWith("$")) {
+                return header;
             }
-            return bulk(socket.getInputStream(), head);
+            return readBulkString(socket.getInputStream(), header);
         }
 
-        String ask(String... words) throws IOException {
-            send(words);
-            return answer();
+        String request(String... parts) throws IOException {
+            send(parts);
+            return readAnswer();
         }
 
         @Override
@@ -458,7 +462,7 @@
         }
     }
 
-    private static String line(InputStream in) throws IOException {
+    private static String readLine(InputStream in) throws IOException {
         StringBuilder text = new StringBuilder();
         for (int b = in.read(); b != '\n'; b = in.read()) {
             if (b < 0) {
@@ -469,33 +473,34 @@
         return text.toString().trim();
     }
 
-    private static String bulk(InputStream in, String head) throws IOException {
-        byte[] bytes = in.readNBytes(Integer.parseInt(head.substring(1)));
+    private static String readBulkString(InputStream in, String header) throws IOException {
+        byte[] bytes = in.readNBytes(Integer.parseInt(header.substring(1)));
         in.readNBytes(2);
         return new String(bytes, StandardCharsets.ISO_8859_1);
     }
 
-    private static List<String> command(InputStream in) throws IOException {
-        int count = Integer.parseInt(line(in).substring(1));
-        List<String> words = new ArrayList<>();
+    private static List<String> readCommand(InputStream in) throws IOException {
+        int count = Integer.parseInt(readLine(in).substring(1));
+        List<String> parts = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            words.add(bulk(in, line(in)));
+            parts.add(readBulkString(in, readLine(in)));
         }
-        return words;
+        return parts;
     }
 
     /** The request line, the headers in small letters, and the body. */
-    private static List<String> request(InputStream in) throws IOException {
-        List<String> words = new ArrayList<>(List.of(line(in)));
+    private static List<String> readHttpRequest(InputStream in) throws IOException {
+        List<String> parts = new ArrayList<>(List.of(readLine(in)));
         int length = 0;
-        for (String h = line(in); !h.isEmpty(); h = line(in)) {
-            words.add(h.substring(0, h.indexOf(':')).toLowerCase(java.util.Locale.ROOT) + h.substring(h.indexOf(':')));
-            length = h.toLowerCase(java.util.Locale.ROOT).startsWith("content-length:")
-                    ? Integer.parseInt(h.substring(15).trim())
+        for (String line = readLine(in); !line.isEmpty(); line = readLine(in)) {
+            parts.add(line.substring(0, line.indexOf(':')).toLowerCase(java.util.Locale.ROOT)
+                    + line.substring(line.indexOf(':')));
+            length = line.toLowerCase(java.util.Locale.ROOT).startsWith("content-length:")
+                    ? Integer.parseInt(line.substring(15).trim())
                     : length;
         }
-        words.add(new String(in.readNBytes(length), StandardCharsets.ISO_8859_1));
-        return words;
+        parts.add(new String(in.readNBytes(length), StandardCharsets.ISO_8859_1));
+        return parts;
     }
 
     /**
@@ -503,12 +508,12 @@
      * took it, and one's client spoke with the other's program. A socket that is bound and does not listen keeps the port from
      * being chosen again, and the program, which reuses addresses as well, may still listen there.
      */
-    private static Socket reservedPort() {
+    private static Socket reservePort() {
         try {
-            Socket reserved = new Socket();
-            reserved.setReuseAddress(true);
-            reserved.bind(new InetSocketAddress("127.0.0.1", 0));
-            return reserved;
+            Socket reservedSocket = new Socket();
+            reservedSocket.setReuseAddress(true);
+            reservedSocket.bind(new InetSocketAddress("127.0.0.1", 0));
+            return reservedSocket;
         } catch (IOException e) {
             throw new java.io.UncheckedIOException(e);
         }
@@ -519,8 +524,8 @@
         if (process != null) {
             process.destroyForcibly();
         }
-        reserved.close();
-        for (Closeable c : open) {
+        reservedSocket.close();
+        for (Closeable c : resources) {
             c.close();
         }
     }
--- a/balancer/src/test/java/baymoor/FakeLink.java
+++ b/balancer/src/test/java/baymoor/FakeLink.java
@@ -30,8 +30,8 @@
     }
 
     @Override
-    public void finish(boolean inAnyCase) {
-        if (inAnyCase || !unread) {
+    public void finish(boolean evenIfUnread) {
+        if (evenIfUnread || !unread) {
             closed = true;
             if (events != null) {
                 events.finished();
--- a/balancer/src/test/java/baymoor/LayoutTest.java
+++ b/balancer/src/test/java/baymoor/LayoutTest.java
@@ -13,11 +13,11 @@
 public class LayoutTest {
 
     @Test
-    public void packagesImportInOneDirection() {
-        JavaClasses program = new ClassFileImporter()
+    public void packageDependenciesAreLayeredAndAcyclic() {
+        JavaClasses classes = new ClassFileImporter()
                 .withImportOption(new ImportOption.DoNotIncludeTests())
                 .importPackages("baymoor", "merlinstep");
-        slices().matching("(baymoor.*)..").should().beFreeOfCycles().check(program);
+        slices().matching("(baymoor.*)..").should().beFreeOfCycles().check(classes);
         var layers = layeredArchitecture().consideringOnlyDependenciesInLayers();
         for (String name : new String[] {
             "config", "resp", "http", "inventory", "peers", "north", "south", "dispatch", "net", "assembly", "serve"
@@ -38,7 +38,7 @@
                 .mayOnlyBeAccessedByLayers("dispatch", "assembly", "serve")
                 .whereLayer("config")
                 .mayOnlyBeAccessedByLayers("assembly", "serve")
-                .check(program);
+                .check(classes);
         ArchRuleDefinition.noClasses()
                 .that()
                 .resideOutsideOfPackages("baymoor.net..", "merlinstep.simhost..")
@@ -46,7 +46,7 @@
                 .dependOnClassesThat()
                 .resideInAnyPackage("org.apache.mina..", "java.nio.channels..")
                 .because("a state machine knows no socket")
-                .check(program);
+                .check(classes);
         ArchRuleDefinition.noClasses()
                 .that()
                 .resideInAPackage("baymoor..")
@@ -60,7 +60,7 @@
                         merlinstep.Decisions.Event.class,
                         merlinstep.Decisions.Sink.class)
                 .because("dispatch alone calls the decisions")
-                .check(program);
+                .check(classes);
         ArchRuleDefinition.noClasses()
                 .that()
                 .resideInAPackage("baymoor.dispatch..")
@@ -68,6 +68,6 @@
                 .dependOnClassesThat()
                 .resideInAnyPackage("baymoor.resp..", "baymoor.http..")
                 .because("dispatch knows no protocol")
-                .check(program);
+                .check(classes);
     }
 }
--- a/balancer/src/test/java/baymoor/ManualTime.java
+++ b/balancer/src/test/java/baymoor/ManualTime.java
@@ -7,46 +7,46 @@
 
 /** A clock that a test moves. */
 public final class ManualTime implements Time {
-    private record Due(long at, int number, Runnable task) {}
+    private record ScheduledTask(long dueMicros, int sequence, Runnable task) {}
 
-    private final List<Due> timers = new ArrayList<>();
+    private final List<ScheduledTask> timers = new ArrayList<>();
     /** How long what is told now may have waited. */
     public long waited;
 
-    private long now = 1_000_000;
-    private int number;
+    private long nowMicros = 1_000_000;
+    private int nextSequence;
 
     @Override
     public long now() {
-        return now;
+        return nowMicros;
     }
 
     @Override
     public long came() {
-        return now - waited;
+        return nowMicros - waited;
     }
 
     @Override
     public Timer after(long micros, Runnable task) {
-        Due due = new Due(now + Math.max(0, micros), number++, task);
-        timers.add(due);
-        return () -> timers.remove(due);
+        ScheduledTask timer = new ScheduledTask(nowMicros + Math.max(0, micros), nextSequence++, task);
+        timers.add(timer);
+        return () -> timers.remove(timer);
     }
 
     /** Moves on and runs what falls due, in order. */
     public void pass(long micros) {
-        long end = now + micros;
+        long endMicros = nowMicros + micros;
         while (true) {
-            Due next = timers.stream()
-                    .filter(d -> d.at <= end)
-                    .min(Comparator.comparingLong(Due::at).thenComparingInt(Due::number))
+            ScheduledTask next = timers.stream()
+                    .filter(task -> task.dueMicros <= endMicros)
+                    .min(Comparator.comparingLong(ScheduledTask::dueMicros).thenComparingInt(ScheduledTask::sequence))
                     .orElse(null);
             if (next == null) {
-                now = end;
+                nowMicros = endMicros;
                 return;
             }
             timers.remove(next);
-            now = next.at;
+            nowMicros = next.dueMicros;
             next.task.run();
         }
     }
--- a/balancer/src/test/java/baymoor/ProgramIT.java
+++ b/balancer/src/test/java/baymoor/ProgramIT.java
@@ -21,58 +21,61 @@
 /** The built program as its clients and operators meet it. */
 public class ProgramIT {
 
-    private final World world = new World();
+    private final BalancerEnvironment environment = new BalancerEnvironment();
 
     @After
-    public void end() throws IOException {
-        world.close();
+    public void closeEnvironment() throws IOException {
+        environment.close();
     }
 
-    private static String[] read(String key, String id) {
+    private static String[] mapRead(String key, String id) {
         return new String[] {"OBJ.GET", key, id, "c=map-read,t=fraser-surveyors,d=1400,size=2.5"};
     }
 
-    private static String value(String text) {
+    private static String hitResponse(String text) {
         return "*3\r\n$" + text.length() + "\r\n" + text + "\r\n$-1\r\n$-1\r\n";
     }
 
     @Test
     public void aMissIsFetchedFromTheOriginWithIdAndFacts() throws IOException {
-        World.Server router = world.router("s-a", 0, words -> "*3\r\n$-1\r\n$-1\r\n$-1\r\n");
-        World.Server origin = world.origin(words -> "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nmap");
-        world.start();
-        try (World.Client client = world.client()) {
-            assertEquals("map", client.ask(read("0a", "0b")));
+        BalancerEnvironment.StubServer router = environment.router("s-a", 0, parts -> "*3\r\n$-1\r\n$-1\r\n$-1\r\n");
+        BalancerEnvironment.StubServer origin =
+                environment.origin(parts -> "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nmap");
+        environment.start();
+        try (BalancerEnvironment.Client client = environment.client()) {
+            assertEquals("map", client.request(mapRead("0a", "0b")));
         }
-        assertEquals("OBJ.GET", router.got.get(0).words().get(0));
-        assertEquals("0b", router.got.get(0).words().get(2));
+        assertEquals("OBJ.GET", router.received.get(0).parts().get(0));
+        assertEquals("0b", router.received.get(0).parts().get(2));
         assertTrue(
-                router.got.get(0).words().get(3),
-                router.got.get(0).words().get(3).matches("c=map-read,t=fraser-surveyors,d=[0-9]+,size=2.5"));
-        var sent = origin.got.get(0).words();
-        assertEquals("GET /0a HTTP/1.1", sent.get(0));
-        assertTrue(sent.toString(), sent.contains("x-correlation-id: 0b"));
-        String facts = sent.stream()
+                router.received.get(0).parts().get(3),
+                router.received.get(0).parts().get(3).matches("c=map-read,t=fraser-surveyors,d=[0-9]+,size=2.5"));
+        var originRequest = origin.received.get(0).parts();
+        assertEquals("GET /0a HTTP/1.1", originRequest.get(0));
+        assertTrue(originRequest.toString(), originRequest.contains("x-correlation-id: 0b"));
+        String facts = originRequest.stream()
                 .filter(line -> line.startsWith("x-facts: "))
                 .findFirst()
                 .orElse("");
         assertTrue(facts, facts.matches("x-facts: c=map-read,t=fraser-surveyors,d=[0-9]+,size=2.5"));
-        long told = Long.parseLong(facts.replaceAll(".*,d=([0-9]+),.*", "$1"));
-        assertTrue("what is left of the client's 1400 ms, less the way there and back", told > 0 && told <= 1398);
+        long attemptMillis = Long.parseLong(facts.replaceAll(".*,d=([0-9]+),.*", "$1"));
+        assertTrue(
+                "what is left of the client's 1400 ms, less the way there and back",
+                attemptMillis > 0 && attemptMillis <= 1398);
     }
 
     @Test
-    public void theLongestValuePassesWholeAndIdsKeepAnswersApart() throws IOException {
+    public void theLargestValueIsForwardedWholeAndPipelinedAnswersMatchTheirRequests() throws IOException {
         String large = "x".repeat(64 * 1024);
-        world.router("s-a", 0, words -> value(words.get(1).equals("0a") ? large : words.get(2)));
-        world.start();
-        try (World.Client client = world.client()) {
-            assertEquals(large, client.ask(read("0a", "1")));
-            client.send(read("0b", "2"));
-            client.send(read("0c", "3"));
-            assertEquals("2", client.answer());
-            assertEquals("3", client.answer());
-            String counters = client.ask("INFO");
+        environment.router("s-a", 0, parts -> hitResponse(parts.get(1).equals("0a") ? large : parts.get(2)));
+        environment.start();
+        try (BalancerEnvironment.Client client = environment.client()) {
+            assertEquals(large, client.request(mapRead("0a", "1")));
+            client.send(mapRead("0b", "2"));
+            client.send(mapRead("0c", "3"));
+            assertEquals("2", client.readAnswer());
+            assertEquals("3", client.readAnswer());
+            String counters = client.request("INFO");
             assertTrue(
                     counters,
                     counters.contains("requests:3\n")
@@ -82,162 +85,163 @@
     }
 
     @Test
-    public void badInputIsAnsweredAndOthersAreServedOn() throws IOException {
-        world.router("s-a", 0, words -> value("v"));
-        world.start();
-        try (World.Client bad = world.client();
-                World.Client good = world.client()) {
-            assertEquals("-ERR unknown command 'FLUSHALL'", bad.ask("FLUSHALL"));
-            assertEquals("-ERR unknown class", bad.ask("OBJ.GET", "0a", "1", "c=none,d=9"));
-            bad.raw("*1\r\n$999999\r\n");
-            assertTrue(bad.line().startsWith("-ERR Protocol error"));
-            assertEquals(-1, bad.socket().getInputStream().read());
-            assertEquals("v", good.ask(read("0a", "1")));
+    public void malformedInputIsAnsweredAndOtherClientsAreServed() throws IOException {
+        environment.router("s-a", 0, parts -> hitResponse("v"));
+        environment.start();
+        try (BalancerEnvironment.Client badClient = environment.client();
+                BalancerEnvironment.Client goodClient = environment.client()) {
+            assertEquals("-ERR unknown command 'FLUSHALL'", badClient.request("FLUSHALL"));
+            assertEquals("-ERR unknown class", badClient.request("OBJ.GET", "0a", "1", "c=none,d=9"));
+            badClient.sendRaw("*1\r\n$999999\r\n");
+            assertTrue(badClient.readLine().startsWith("-ERR Protocol error"));
+            assertEquals(-1, badClient.socket().getInputStream().read());
+            assertEquals("v", goodClient.request(mapRead("0a", "1")));
         }
     }
 
     @Test
-    public void aCrowdOfConnectionsStaysWithinTheDescriptors() throws IOException {
-        world.router("s-a", 0, words -> value("v"));
-        world.start();
-        List<World.Client> crowd = new ArrayList<>();
+    public void idleConnectionsAreEvictedWithinTheDescriptorLimit() throws IOException {
+        environment.router("s-a", 0, parts -> hitResponse("v"));
+        environment.start();
+        List<BalancerEnvironment.Client> clients = new ArrayList<>();
         for (int i = 0; i < 700; i++) {
-            crowd.add(world.client());
-            assertEquals("+PONG", crowd.get(i).ask("PING"));
+            clients.add(environment.client());
+            assertEquals("+PONG", clients.get(i).request("PING"));
         }
         assertEquals(
                 "the oldest was idle longest",
                 -1,
-                crowd.get(0).socket().getInputStream().read());
-        assertEquals("v", crowd.get(699).ask(read("0a", "1")));
-        assertTrue(world.descriptors() < 600);
-        for (World.Client client : crowd) {
+                clients.get(0).socket().getInputStream().read());
+        assertEquals("v", clients.get(699).request(mapRead("0a", "1")));
+        assertTrue(environment.openDescriptors() < 600);
+        for (BalancerEnvironment.Client client : clients) {
             client.close();
         }
     }
 
     @Test
-    public void aCrowdOfLargeWritesStaysWithinTheMemory() throws IOException {
-        world.origin(words -> null);
-        world.start();
+    public void concurrentLargeWritesStayWithinTheMemoryLimit() throws IOException {
+        environment.origin(parts -> null);
+        environment.start();
         String large = "x".repeat(64 * 1024);
-        List<World.Client> crowd = new ArrayList<>();
+        List<BalancerEnvironment.Client> clients = new ArrayList<>();
         for (int i = 0; i < 450; i++) {
-            crowd.add(world.client());
-            crowd.get(i).send("OBJ.SET", "0a", "id" + i, "c=search-order,t=fraser-surveyors,d=1400", large);
+            clients.add(environment.client());
+            clients.get(i).send("OBJ.SET", "0a", "id" + i, "c=search-order,t=fraser-surveyors,d=1400", large);
         }
-        for (World.Client client : crowd) {
-            String answer = client.answer();
+        for (BalancerEnvironment.Client client : clients) {
+            String answer = client.readAnswer();
             assertTrue(answer, answer.startsWith("-BUSY") || answer.equals("-ERR failed"));
             client.close();
         }
-        try (World.Client client = world.client()) {
-            String counters = client.ask("INFO");
+        try (BalancerEnvironment.Client client = environment.client()) {
+            String counters = client.request("INFO");
             assertTrue(counters, counters.contains("task_failures:0\n") && !counters.contains("turned_away:0\n"));
         }
-        String status = Files.readString(Path.of("/proc/" + world.process().pid() + "/status"));
-        int peak = Integer.parseInt(status.replaceAll("(?s).*VmHWM:\\s*([0-9]+) kB.*", "$1")) / 1024;
-        assertTrue(peak + " MB at the most", peak < 128);
+        String status =
+                Files.readString(Path.of("/proc/" + environment.process().pid() + "/status"));
+        int peakMegabytes = Integer.parseInt(status.replaceAll("(?s).*VmHWM:\\s*([0-9]+) kB.*", "$1")) / 1024;
+        assertTrue(peakMegabytes + " MB at the most", peakMegabytes < 128);
     }
 
     @Test
-    public void onSigtermItServesOnThenAnswersAllAndEnds() throws Exception {
-        CountDownLatch asked = new CountDownLatch(1);
-        CountDownLatch mayAnswer = new CountDownLatch(1);
-        world.router("s-a", 0, words -> {
-            if (words.get(1).equals("0a")) {
-                asked.countDown();
+    public void sigtermDrainsAndAnswersEveryRequest() throws Exception {
+        CountDownLatch requestReceived = new CountDownLatch(1);
+        CountDownLatch answerAllowed = new CountDownLatch(1);
+        environment.router("s-a", 0, parts -> {
+            if (parts.get(1).equals("0a")) {
+                requestReceived.countDown();
                 try {
-                    mayAnswer.await(10, TimeUnit.SECONDS);
+                    answerAllowed.await(10, TimeUnit.SECONDS);
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
             }
-            return value("v");
+            return hitResponse("v");
         });
-        world.start();
-        try (World.Client waiting = world.client()) {
-            waiting.send(read("0a", "1"));
-            assertTrue(asked.await(10, TimeUnit.SECONDS));
-            world.process().toHandle().destroy(); // Process.destroy would close its error stream
-            try (World.Client late = world.client()) {
-                assertEquals("v", late.ask(read("0b", "2")));
+        environment.start();
+        try (BalancerEnvironment.Client waiting = environment.client()) {
+            waiting.send(mapRead("0a", "1"));
+            assertTrue(requestReceived.await(10, TimeUnit.SECONDS));
+            environment.process().toHandle().destroy(); // Process.destroy would close its error stream
+            try (BalancerEnvironment.Client lateClient = environment.client()) {
+                assertEquals("v", lateClient.request(mapRead("0b", "2")));
             }
-            mayAnswer.countDown();
-            assertEquals("v", waiting.answer());
+            answerAllowed.countDown();
+            assertEquals("v", waiting.readAnswer());
         }
-        String end = new String(world.process().getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
-        assertTrue(world.process().waitFor(10, TimeUnit.SECONDS));
-        assertTrue(end, end.contains("served=2 ") && end.contains("invariants_broken=0"));
+        String errorOutput = new String(environment.process().getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
+        assertTrue(environment.process().waitFor(10, TimeUnit.SECONDS));
+        assertTrue(errorOutput, errorOutput.contains("served=2 ") && errorOutput.contains("invariants_broken=0"));
     }
 
     @Test
-    public void onSighupItFollowsDiscoveryAndABadFileChangesNothing() throws Exception {
-        world.router("s-a", 0, words -> value("v"));
-        world.start();
-        assertTrue(world.watchedAt() > 0);
-        world.reload("{\"name\":");
-        assertTrue(world.said("the old configuration stays").contains("config detail=\"not JSON"));
-        String moved = world.config();
-        world.reload(moved);
-        assertTrue(moved.contains("\"discovery\":\"127.0.0.1:" + world.watchedAt() + "\""));
-        try (World.Client client = world.client()) {
-            assertEquals("v", client.ask(read("0a", "1")));
+    public void sighupMovesDiscoveryAndAnInvalidFileIsIgnored() throws Exception {
+        environment.router("s-a", 0, parts -> hitResponse("v"));
+        environment.start();
+        assertTrue(environment.awaitWatchPort() > 0);
+        environment.reload("{\"name\":");
+        assertTrue(environment.awaitLogLine("the old configuration stays").contains("config detail=\"not JSON"));
+        String newConfig = environment.config();
+        environment.reload(newConfig);
+        assertTrue(newConfig.contains("\"discovery\":\"127.0.0.1:" + environment.awaitWatchPort() + "\""));
+        try (BalancerEnvironment.Client client = environment.client()) {
+            assertEquals("v", client.request(mapRead("0a", "1")));
         }
     }
 
     /** Seen: balancers started in the background by nohup never followed discovery, and sent on to routers that drained. */
     @Test
-    public void whereItsParentIgnoresSighupItFollowsTheFileAllTheSame() throws Exception {
-        world.router("s-a", 0, words -> value("v"));
-        world.ignoringSighup().start();
-        assertTrue(world.watchedAt() > 0);
-        assertNotNull(world.said("SIGHUP is ignored"));
-        world.reload("{\"name\":");
-        assertNotNull(world.said("the old configuration stays"));
-        String moved = world.config();
-        world.reload(moved);
-        assertTrue(moved.contains("\"discovery\":\"127.0.0.1:" + world.watchedAt() + "\""));
+    public void theFileIsPolledWhenSighupIsIgnored() throws Exception {
+        environment.router("s-a", 0, parts -> hitResponse("v"));
+        environment.ignoringSighup().start();
+        assertTrue(environment.awaitWatchPort() > 0);
+        assertNotNull(environment.awaitLogLine("SIGHUP is ignored"));
+        environment.reload("{\"name\":");
+        assertNotNull(environment.awaitLogLine("the old configuration stays"));
+        String newConfig = environment.config();
+        environment.reload(newConfig);
+        assertTrue(newConfig.contains("\"discovery\":\"127.0.0.1:" + environment.awaitWatchPort() + "\""));
     }
 
     @Test
-    public void whereListsArePushedADrainThatTheAgentTellsOfEndsWhatIsSentThere() throws Exception {
-        World.Server leaving = world.router("s-a", 0, words -> value("old"));
-        world.router("s-b", 0, words -> value("new"));
-        world.pushed().start();
-        world.tell(2, World.endpoint("s-a", leaving.port, "two-core", "terminating", 0));
-        try (World.Client client = world.client()) {
+    public void aDrainPushedByTheAgentStopsAttemptsToTheRouter() throws Exception {
+        BalancerEnvironment.StubServer drainingRouter = environment.router("s-a", 0, parts -> hitResponse("old"));
+        environment.router("s-b", 0, parts -> hitResponse("new"));
+        environment.pushingLists().start();
+        environment.publish(2, BalancerEnvironment.endpoint("s-a", drainingRouter.port, "two-core", "terminating", 0));
+        try (BalancerEnvironment.Client client = environment.client()) {
             // The list and the requests come by different connections: the first ones may be before the list.
             String last = "old";
             for (int i = 0; i < 10_000 && (last.equals("old") || i < 200); i++) {
-                last = client.ask(read(Integer.toHexString(i % 100), "id" + i));
+                last = client.request(mapRead(Integer.toHexString(i % 100), "id" + i));
             }
-            int sent = leaving.got.size();
+            int receivedBefore = drainingRouter.received.size();
             for (int i = 0; i < 100; i++) {
-                assertEquals("new", client.ask(read(Integer.toHexString(i), "after" + i)));
+                assertEquals("new", client.request(mapRead(Integer.toHexString(i), "after" + i)));
             }
-            assertEquals(sent, leaving.got.size());
+            assertEquals(receivedBefore, drainingRouter.received.size());
         }
     }
 
     @Test
-    public void theAdapterOfTheSimulatorStartsFromTheSameBuild() throws Exception {
-        Process sim = new ProcessBuilder("/bin/sh", "-c", World.deployed("sim")).start();
-        try (OutputStream in = sim.getOutputStream()) {
+    public void theSimulatorAdapterStartsFromTheSameBuild() throws Exception {
+        Process adapter = new ProcessBuilder("/bin/sh", "-c", BalancerEnvironment.deployCommand("sim")).start();
+        try (OutputStream in = adapter.getOutputStream()) {
             in.write("ROUND\tat_time=1\nFLUSH\n".getBytes(StandardCharsets.US_ASCII));
         }
-        assertEquals("READY\n", new String(sim.getInputStream().readAllBytes(), StandardCharsets.UTF_8));
-        assertTrue(sim.waitFor(10, TimeUnit.SECONDS));
-        assertEquals(0, sim.exitValue());
+        assertEquals("READY\n", new String(adapter.getInputStream().readAllBytes(), StandardCharsets.UTF_8));
+        assertTrue(adapter.waitFor(10, TimeUnit.SECONDS));
+        assertEquals(0, adapter.exitValue());
     }
 
     @Test
-    public void aBadConfigurationIsOneLineAndNoStart() throws Exception {
-        Process process = world.launch("{\"name\":\"n0\",\"listen\":\"nowhere\"}");
-        String said = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
+    public void anInvalidConfigurationPrintsOneLineAndExits() throws Exception {
+        Process process = environment.launch("{\"name\":\"n0\",\"listen\":\"nowhere\"}");
+        String errorOutput = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
         assertTrue(process.waitFor(10, TimeUnit.SECONDS));
         assertNotEquals(0, process.exitValue());
-        assertEquals("config: listen is not an address with a port: nowhere", said.trim());
+        assertEquals("config: listen is not an address with a port: nowhere", errorOutput.trim());
         assertFalse(process.isAlive());
     }
 }
