--- a/balancer/src/main/java/baymoor/net/ConnectionLimiter.java
+++ b/balancer/src/main/java/baymoor/net/ConnectionLimiter.java
@@ -1,26 +1,28 @@
 package baymoor.net;
 
 /**
- * Bounds the connections that are accepted and not over. Danger: a crowd that comes at once is accepted faster than the decision
- * thread can make room, and takes every descriptor: then no router and no discovery can be called either, and MINA stops
- * accepting for a second. Who has to wait here waits in the listener's queue, until a connection is over.
+ * Limits the number of open accepted connections; further ones wait in the listener's backlog. Without a limit a burst of
+ * clients is accepted faster than the decision thread can evict idle ones, and takes every file descriptor: then no connection
+ * to a host or to discovery can be opened, and MINA stops accepting for a second.
+ *
+ * <p>Thread-safe.
  */
 final class ConnectionLimiter {
 
-    /** A count that was lost must not shut out everybody for good. */
+    /** Bounds the wait, so that a close that was never counted does not block accepting for good. */
     private static final long MAX_WAIT_NANOS = 1_000_000_000L;
 
     private final int maxConnections;
     private int openConnections;
     private boolean disabled;
 
-    /** @param maxConnections connections at a time, 0 for no bound */
+    /** @param maxConnections the highest number of open connections, 0 for no limit */
     ConnectionLimiter(int maxConnections) {
         this.maxConnections = maxConnections;
         disabled = maxConnections <= 0;
     }
 
-    /** Waits until there is room, a second at the most. */
+    /** Waits until a connection may be accepted, at most {@link #MAX_WAIT_NANOS}. */
     synchronized void awaitCapacity() throws InterruptedException {
         long deadlineNanos = System.nanoTime() + MAX_WAIT_NANOS;
         while (!disabled && openConnections >= maxConnections) {
@@ -41,7 +43,7 @@
         notifyAll();
     }
 
-    /** Nobody waits any more: what is in the listener's queue when it closes would be lost. */
+    /** Removes the limit before the listener closes, since connections still in its backlog would be lost. */
     synchronized void disable() {
         disabled = true;
         notifyAll();
--- a/balancer/src/main/java/baymoor/net/DecisionThread.java
+++ b/balancer/src/main/java/baymoor/net/DecisionThread.java
@@ -7,24 +7,28 @@
 import java.util.PriorityQueue;
 import java.util.function.Consumer;
 
-/** The one thread that owns all state: runs what the drivers hand in, and what falls due, one after another. */
+/**
+ * A single-threaded event loop that owns all state of a balancer: it runs posted tasks and due timers one after another.
+ *
+ * <p>{@link #post}, {@link #read} and {@link #stop} may be called from any thread; the methods of {@link Time} only from
+ * tasks that this thread runs.
+ */
 public final class DecisionThread implements Time, Runnable {
 
-    /** The clock's first reading: high enough that starts of hosts long before this program's are above 0. */
+    /** The clock's first reading, high enough that hosts which started long before this process have positive times. */
     private static final long CLOCK_START_MICROS = 1_000_000_000_000L;
 
-    /** Due before all else: what belongs to the present event is done before the next one is heard. */
+    /** Due before any posted task, so that follow-up work of the current event runs before the next event. */
     private static final long DUE_IMMEDIATELY = 0;
 
     private static final long MICROS_PER_MILLI = 1_000;
 
     /**
-     * What has come in and was not looked at yet, under its own monitor. Seen: where one thread of the process runs at a
-     * time, a queue of java.util.concurrent held the balancer up for good. Between two steps of a signal its waiter
-     * spins, trusting that the other thread goes on meanwhile; a monitor's waiter sleeps.
+     * Tasks posted by other threads, guarded by the deque's monitor. Not a queue of java.util.concurrent: its waiters
+     * spin until the signalling thread makes progress, which never ends where only one thread runs at a time.
      */
     private final ArrayDeque<PostedTask> posted = new ArrayDeque<>();
-    /** What was taken over from there. */
+    /** Posted tasks that this thread has taken over and not run yet. */
     private final ArrayDeque<PostedTask> localQueue = new ArrayDeque<>();
 
     private final PriorityQueue<ScheduledTask> timers = new PriorityQueue<>();
@@ -34,18 +38,19 @@
     private final PauseDetector pauseDetector = new PauseDetector();
     private long nowMicros = CLOCK_START_MICROS;
     private long earliestArrivalMicros = CLOCK_START_MICROS;
-    /** When this thread means to look at the clock next. */
+    /** When this thread expects to read the clock next, at the latest. */
     private long expectedWakeMicros = Long.MAX_VALUE;
 
     private long nextSequence;
     private volatile boolean stopped;
 
+    /** Creates the loop; a {@link Thread} has to {@linkplain #run run} it. Failed tasks are counted and logged. */
     public DecisionThread(Counters counters, Consumer<String> log) {
         this.counters = counters;
         this.log = log;
     }
 
-    /** What the drivers handed in, and when. */
+    /** A task from another thread and the time at which it was posted. */
     private record PostedTask(long postedMicros, Runnable task) {}
 
     private static final class ScheduledTask implements Timer, Comparable<ScheduledTask> {
@@ -59,7 +64,7 @@
             this.task = task;
         }
 
-        /** The place in the queue stays until it is due, but what the task holds is let go. */
+        /** Releases the task; the entry stays in the queue until it is due. */
         @Override
         public void cancel() {
             task = null;
@@ -72,7 +77,7 @@
         }
     }
 
-    /** Hands a task to the decision thread, from any thread. */
+    /** Queues a task for the decision thread. May be called from any thread. */
     public void post(Runnable task) {
         PostedTask postedTask = new PostedTask(read(), task);
         synchronized (posted) {
@@ -99,12 +104,12 @@
         return timer;
     }
 
-    /** What the clock shows now, for the mapping of other clocks onto it. */
+    /** Reads the clock, in microseconds. May be called from any thread. */
     public long read() {
         return CLOCK_START_MICROS + (System.nanoTime() - startNanos) / 1000;
     }
 
-    /** Lets {@link #run} return after the present task. */
+    /** Makes {@link #run} return after the current task. May be called from any thread. */
     public void stop() {
         stopped = true;
         post(() -> {});
@@ -119,8 +124,8 @@
             earliestArrivalMicros = nowMicros;
             ScheduledTask nextTimer = timers.peek();
             PostedTask nextPosted = peekPosted();
-            // Seen: while this thread was held up, answers that had come in waited here, and the time-outs of their
-            // attempts went first. What happened first is told first.
+            // In order of time: after a stall, a response posted before a timer was due must run before that timer,
+            // which may be the time-out of its attempt.
             if (nextTimer != null
                     && nextTimer.dueMicros <= nowMicros
                     && (nextPosted == null || nextTimer.dueMicros < nextPosted.postedMicros)) {
@@ -142,7 +147,7 @@
         }
     }
 
-    /** The next task that was handed in, or null. */
+    /** Returns the oldest posted task without removing it, or null if there is none. */
     private PostedTask peekPosted() {
         if (localQueue.isEmpty()) {
             synchronized (posted) {
@@ -153,14 +158,14 @@
         return localQueue.peek();
     }
 
-    /** Sleeps until something is handed in, or a timer is due (to the millisecond above, as monitors have it). */
+    /** Sleeps until a task is posted or the timer is due, rounded up to a millisecond, the resolution of monitors. */
     private void awaitWork(ScheduledTask nextTimer) {
         synchronized (posted) {
             if (!posted.isEmpty()) {
                 return;
             }
             try {
-                // 0 would be for ever; what is due within a millisecond is waited for that long.
+                // A time-out of 0 waits without limit, so a timer needs at least 1 ms.
                 long millis = nextTimer == null
                         ? 0
                         : (nextTimer.dueMicros - nowMicros + MICROS_PER_MILLI - 1) / MICROS_PER_MILLI;
@@ -175,8 +180,9 @@
         try {
             task.run();
         } catch (RuntimeException | Error e) {
-            // One event that can't be dealt with must not end the balancer, be it for want of memory: without this
-            // thread it would hold all connections and answer nothing. The deadline answers what was owed.
+            // A failed task, even one that ran out of memory, must not end the thread: the process would keep all of
+            // its
+            // connections and answer none of them. Requests that the task left pending are answered at their deadlines.
             counters.add(Count.TASK_FAILURES);
             log.accept("task failed: " + e + (e.getStackTrace().length > 0 ? " at " + e.getStackTrace()[0] : ""));
         }
--- a/balancer/src/main/java/baymoor/net/HalfClose.java
+++ b/balancer/src/main/java/baymoor/net/HalfClose.java
@@ -7,7 +7,10 @@
 import org.apache.mina.core.session.IoSession;
 import org.apache.mina.transport.socket.nio.NioSession;
 
-/** The end of one direction of a connection, which MINA offers no call for: its session's channel is reached by reflection. */
+/**
+ * Shuts down the output of a connection and leaves its input open. MINA has no call for this, so the session's channel is
+ * read by reflection.
+ */
 final class HalfClose {
 
     private static final Field CHANNEL = channel();
@@ -20,11 +23,11 @@
             field.setAccessible(true);
             return field;
         } catch (ReflectiveOperationException e) {
-            throw new IllegalStateException("MINA's sessions hold no channel", e);
+            throw new IllegalStateException("MINA's NioSession has no accessible field named channel", e);
         }
     }
 
-    /** Something to write that is nothing: it stands in the queue of writes and leaves no byte. */
+    /** Returns an empty buffer that takes a place in the queue of writes and sends no byte. */
     static IoBuffer marker() {
         return IoBuffer.allocate(0);
     }
@@ -33,7 +36,7 @@
         return message instanceof IoBuffer buffer && buffer.capacity() == 0;
     }
 
-    /** Sends this side's end; a connection that is broken already needs none. */
+    /** Sends FIN after all that was written; closes the session if the connection is broken already. */
     static void shutdownOutput(IoSession session) {
         try {
             ((SocketChannel) CHANNEL.get(session)).shutdownOutput();
--- a/balancer/src/main/java/baymoor/net/MinaLink.java
+++ b/balancer/src/main/java/baymoor/net/MinaLink.java
@@ -11,12 +11,15 @@
 import org.apache.mina.core.session.IoSession;
 import org.apache.mina.core.write.DefaultWriteRequest;
 
-/** One TCP connection. Its state machine is called on the decision thread only. */
+/**
+ * One TCP connection on a MINA session. Its {@link LinkEvents} are called on the decision thread only, which also calls the
+ * methods of {@link Link}; methods named {@code on...} may be called on MINA's threads.
+ */
 final class MinaLink implements Link {
 
-    /** Seen: clients that send at full speed. What they send must wait in their sockets, not in the queue. */
+    /** Reading is suspended above this, so that a fast sender is held back by TCP flow control. */
     private static final int MAX_UNDELIVERED_BYTES = 128 * 1024;
-    /** Who sends on so much after this side's end has gone out is cut off. */
+    /** A peer that sends more than this after the output was shut down is disconnected. */
     private static final int MAX_DISCARDED_BYTES = 64 * 1024;
 
     private static final int ANY_READ_COUNT = -1;
@@ -27,27 +30,29 @@
     private volatile boolean closeRequested;
     private ConnectFuture connectFuture;
     private boolean closedDelivered;
-    /** The driver knows that it is over. */
+    /** The connection is closed, though {@link LinkEvents#closed} may not have been delivered yet. */
     private volatile boolean disconnected;
-    /** Reads that the driver's one thread has made, and those of them that were told. */
+    /** Reads that the I/O thread has made. */
     private int readCount;
 
+    /** Reads that the decision thread has delivered. */
     private int deliveredReads;
-    /** Driver's thread: this side's output has ended, and what came in since. */
+    /** Used on the I/O thread only, as is {@link #discardedBytes}. */
     private boolean outputShutDown;
 
     private int discardedBytes;
     private final AtomicInteger undeliveredBytes = new AtomicInteger();
-    /** Whether the state machine wants bytes, and whether the decision thread keeps up with them. */
+    /** Whether the state machine wants bytes. */
     private boolean readingRequested = true;
 
+    /** Whether more bytes wait for delivery than {@link #MAX_UNDELIVERED_BYTES}. */
     private boolean backlogged;
 
     MinaLink(DecisionThread thread) {
         this.thread = thread;
     }
 
-    /** Decision thread, before anything is told. */
+    /** Sets the receiver of events, before the first event is posted. */
     void setEvents(LinkEvents listener) {
         events = listener;
     }
@@ -66,7 +71,7 @@
         });
     }
 
-    /** Driver's thread: the connection is up, unless it is not wanted any more. */
+    /** Reports the connection as open, or closes it if {@link #close} was called meanwhile. */
     void onOpened(IoSession openedSession) {
         session = openedSession;
         if (closeRequested) {
@@ -100,7 +105,7 @@
         });
     }
 
-    /** Each of the two that may stop the reading from the socket says so for itself. */
+    /** Suspends or resumes reading from the socket when either of the two reasons to do so changes; null leaves one as it is. */
     private synchronized void updateReading(Boolean newBacklogged, Boolean newReadingRequested) {
         boolean wasReading = readingRequested && !backlogged;
         backlogged = newBacklogged == null ? backlogged : newBacklogged;
@@ -148,16 +153,18 @@
         if (currentSession != null) {
             currentSession.closeNow();
         } else {
-            // Still connecting: nothing has been written, so its end can be told without waiting for MINA.
+            // Still connecting: nothing was written, so the close can be reported without waiting for MINA.
             connectFuture.cancel();
             onClosed();
         }
     }
 
     /**
-     * The mark passes through the queue of writes and comes out on the driver's thread, which makes all reads: so nothing
-     * can be read between the look at what was read and the end of the output. Seen to be possible without it: a request
-     * that was read in the very moment in which its connection was closed as idle, and was lost.
+     * {@inheritDoc}
+     *
+     * <p>An empty write serves as a marker: it leaves the queue of writes on the I/O thread, which makes all reads, so no read
+     * can come between the check of the read count and the shutdown of the output. Otherwise a request that is read while its
+     * connection is closed as idle would be lost.
      */
     @Override
     public void finish(boolean evenIfUnread) {
@@ -170,7 +177,7 @@
                     && (expectedReads == ANY_READ_COUNT || expectedReads == readCount)) {
                 outputShutDown = true;
                 HalfClose.shutdownOutput(currentSession);
-                updateReading(false, true); // the other side's end is to be seen
+                updateReading(false, true); // so that the peer's FIN is noticed
                 postEvent(() -> events.finished());
             }
         });
--- a/balancer/src/main/java/baymoor/net/MinaNet.java
+++ b/balancer/src/main/java/baymoor/net/MinaNet.java
@@ -27,7 +27,10 @@
 import org.apache.mina.transport.socket.nio.NioSocketAcceptor;
 import org.apache.mina.transport.socket.nio.NioSocketConnector;
 
-/** All sockets of the program, on Apache MINA with one I/O processor: there is one core to share. */
+/**
+ * All sockets of the process, on Apache MINA with a single I/O processor, since all threads share one core. Its methods may be
+ * called from any thread; handlers are called on the decision thread.
+ */
 public final class MinaNet implements Dialer, PeerLink {
 
     private static final String LINK_ATTRIBUTE = "link";
@@ -51,18 +54,23 @@
         }
     };
     private final Map<SocketAddress, Function<Link, LinkEvents>> acceptHandlers = new ConcurrentHashMap<>();
-    /** Who takes a connection at whatever address, while there is one listener only. */
+    /** Takes the connections at every local address while there is a single listener, else null. */
     private volatile Function<Link, LinkEvents> soleAcceptHandler;
 
     private NioDatagramAcceptor datagrams;
     private InetSocketAddress peerAddress;
 
-    /** Without a bound on what it accepts. */
+    /** Creates the sockets without a limit on accepted connections. */
     public MinaNet(DecisionThread thread) {
         this(thread, 0);
     }
 
-    /** @param maxConnections connections accepted and not over, past which the next ones wait in the listener's queue */
+    /**
+     * Creates the sockets with a limit on accepted connections.
+     *
+     * @param maxConnections the highest number of open accepted connections, past which further ones wait in the listener's
+     *                       backlog; 0 for no limit
+     */
     public MinaNet(DecisionThread thread, int maxConnections) {
         this.thread = thread;
         connectionLimiter = new ConnectionLimiter(maxConnections);
@@ -80,8 +88,12 @@
     }
 
     /**
-     * Listens at an address, and gives the one that it got. It may be called again for further addresses, each with
-     * listeners of its own; an address of all interfaces stands alone.
+     * Listens at an address. May be called again for further addresses, each with a handler of its own; a wildcard address
+     * has to be the only one.
+     *
+     * @param address       the address; port 0 picks a free one
+     * @param acceptHandler is given each accepted connection, and returns the receiver of its events
+     * @return the address that was bound
      */
     public synchronized InetSocketAddress listen(InetSocketAddress address, Function<Link, LinkEvents> acceptHandler)
             throws IOException {
@@ -90,7 +102,7 @@
             acceptor.setReuseAddress(true);
             acceptor.setBacklog(BACKLOG);
         }
-        if (address.getPort() != 0) { // known beforehand, so that the first connection finds it
+        if (address.getPort() != 0) { // before the bind, so that the first connection finds it
             acceptHandlers.put(address, acceptHandler);
         }
         Set<SocketAddress> addressesBefore = acceptor.getLocalAddresses();
@@ -104,21 +116,25 @@
         return boundAddress;
     }
 
-    /** Listens no longer at one address; the connections there are stay. */
+    /** Stops listening at one address; accepted connections stay open. */
     public synchronized void stopListening(InetSocketAddress address) {
         acceptHandlers.remove(address);
         acceptor.setCloseOnDeactivation(false);
         acceptor.unbind(address);
     }
 
-    /** Takes no further connections; those there are stay. */
+    /** Stops listening at all addresses; accepted connections stay open. */
     public void stopListening() {
         connectionLimiter.disable();
         acceptor.setCloseOnDeactivation(false);
         acceptor.unbind();
     }
 
-    /** Receives datagrams at an address, which it gives back; they are sent from there too. */
+    /**
+     * Binds the datagram socket that receives from peers and sends to them.
+     *
+     * @return the address that was bound
+     */
     public InetSocketAddress listenToPeers(
             InetSocketAddress address, BiConsumer<InetSocketAddress, byte[]> datagramHandler) throws IOException {
         datagrams = new NioDatagramAcceptor();
@@ -142,7 +158,7 @@
         return peerAddress;
     }
 
-    /** Closes all there is, for programs that go on without it. */
+    /** Closes all sockets and stops their threads. */
     public void close() {
         connectionLimiter.disable();
         acceptor.dispose();
@@ -176,7 +192,7 @@
         return bytes;
     }
 
-    /** Hands what happens on a connection to its link. */
+    /** Forwards the events of a session to its link. */
     private final class Handler extends IoHandlerAdapter {
         private final boolean inbound;
 
--- a/balancer/src/main/java/baymoor/net/PauseDetector.java
+++ b/balancer/src/main/java/baymoor/net/PauseDetector.java
@@ -1,20 +1,27 @@
 package baymoor.net;
 
 /**
- * Notices that the whole process was held up: stopped, or without a processor. Seen: a balancer that had stood still for a second
- * read the requests that had waited meanwhile, gave them all of their time from then on, and answered when their clients were gone.
+ * Detects pauses of the whole process, such as a stop or CPU starvation. Requests that arrived in the socket buffers during a
+ * pause are read only after it; taking the time of the read for their arrival would grant them deadlines that have passed.
+ *
+ * <p>Used on the decision thread only.
  */
 final class PauseDetector {
 
-    /** A look at the clock so much later than was meant is a hold-up; less is an ordinary wait for a processor. */
+    /** A wake-up at most this late is an ordinary scheduling delay. */
     private static final long MIN_PAUSE_MICROS = 100_000;
-    /** So long after it the drivers have handed in all that waited in the sockets. */
+    /** How long after a pause the I/O threads take to read what has waited in the socket buffers. */
     private static final long CATCH_UP_MICROS = 20_000;
 
     private long pauseStartMicros;
     private long catchUpEndMicros = Long.MIN_VALUE;
 
-    /** The decision thread looks at the clock, and meant to do so at the latest at {@code meant}. */
+    /**
+     * Records that the decision thread has woken up.
+     *
+     * @param expectedMicros the latest time at which it was to wake up
+     * @param actualMicros   the time now
+     */
     void wokeUp(long expectedMicros, long actualMicros) {
         if (actualMicros - expectedMicros > MIN_PAUSE_MICROS) {
             pauseStartMicros = expectedMicros;
@@ -22,7 +29,7 @@
         }
     }
 
-    /** The earliest that something may have come in which a driver handed in at a time. */
+    /** Returns the earliest time at which the bytes may have arrived whose task was posted at the given time. */
     long earliestArrival(long postedMicros) {
         return postedMicros <= catchUpEndMicros ? Math.min(pauseStartMicros, postedMicros) : postedMicros;
     }
--- a/balancer/src/test/java/baymoor/net/ConnectionLimiterTest.java
+++ b/balancer/src/test/java/baymoor/net/ConnectionLimiterTest.java
@@ -20,7 +20,7 @@
 
     private static final int TIMEOUT_SECONDS = 20;
 
-    /** Danger: a crowd is accepted faster than room is made for it, until no descriptor is left to call anybody with. */
+    /** Guards against a burst of clients that takes every file descriptor before idle connections are evicted. */
     @Test
     public void acceptingWaitsAtTheLimitUntilAConnectionCloses() throws Exception {
         DecisionThread thread = new DecisionThread(new Counters(), line -> {});
@@ -51,9 +51,9 @@
         for (int accepted = 1; accepted <= 20; accepted++) {
             Link link = links.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
             assertNotNull("connection " + accepted, link);
-            long secondsElapsed =
-                    TimeUnit.NANOSECONDS.toSeconds(System.nanoTime() - startNanos); // one may pass each second
-            assertTrue(links.size() + " more", links.size() <= 2 + secondsElapsed);
+            long secondsElapsed = TimeUnit.NANOSECONDS.toSeconds(
+                    System.nanoTime() - startNanos); // each second one may be accepted past the limit
+            assertTrue(links.size() + " further connections accepted", links.size() <= 2 + secondsElapsed);
             if (accepted >= 3) {
                 thread.post(link::close);
             }
--- a/balancer/src/test/java/baymoor/net/DecisionThreadTest.java
+++ b/balancer/src/test/java/baymoor/net/DecisionThreadTest.java
@@ -28,10 +28,10 @@
             executed.add("event");
         });
         thread.post(() -> {
-            throw new IllegalStateException("a test's own");
+            throw new IllegalStateException("thrown by the test");
         });
         thread.post(() -> {
-            throw new OutOfMemoryError("a test's own");
+            throw new OutOfMemoryError("thrown by the test");
         });
         Thread runner = new Thread(thread);
         runner.start();
@@ -49,11 +49,11 @@
         CountDownLatch finished = new CountDownLatch(1);
         thread.post(() -> {
             thread.post(() -> executed.add("answer"));
-            // The clock went on since this task began, by however long the machine held the thread up.
+            // Time that has passed since the task began, which a busy machine may have made long.
             long pauseMicros = thread.read() - thread.now();
             thread.after(pauseMicros + 20_000, () -> executed.add("time-out"));
             thread.after(pauseMicros + 20_000, finished::countDown);
-            thread.after(0, () -> executed.add("the event's own"));
+            thread.after(0, () -> executed.add("follow-up"));
             while (thread.read() < thread.now() + pauseMicros + 30_000) {
                 Thread.onSpinWait();
             }
@@ -61,12 +61,12 @@
         Thread runner = new Thread(thread);
         runner.start();
         assertTrue(finished.await(10, TimeUnit.SECONDS));
-        assertEquals(List.of("the event's own", "answer", "time-out"), executed);
+        assertEquals(List.of("follow-up", "answer", "time-out"), executed);
         thread.stop();
         runner.join(10_000);
     }
 
-    /** Danger: a waiter that spins till another thread goes on holds the program up where one thread runs at a time. */
+    /** Guards against waiters that spin until another thread makes progress, which hang where one thread runs at a time. */
     @Test
     public void theIdleThreadWaitsOnAMonitorNotInAConcurrentQueue() throws InterruptedException {
         DecisionThread thread = new DecisionThread(new Counters(), line -> {});
--- a/balancer/src/test/java/baymoor/net/MinaLinkTest.java
+++ b/balancer/src/test/java/baymoor/net/MinaLinkTest.java
@@ -20,7 +20,7 @@
 import org.junit.Before;
 import org.junit.Test;
 
-/** A connection's end against bytes that come in at that moment, over loopback; one of the two is held back for the other. */
+/** Closing a connection while bytes arrive, over loopback; each test holds back one of the two events. */
 public class MinaLinkTest {
 
     private static final int TIMEOUT_SECONDS = 20;
@@ -28,7 +28,7 @@
     private final MinaNet net = new MinaNet(thread);
     private final BlockingQueue<String> delivered = new LinkedBlockingQueue<>();
     private final BlockingQueue<Link> links = new LinkedBlockingQueue<>();
-    /** What is done on the decision thread as bytes are told. */
+    /** Runs on the decision thread when bytes are delivered, before they are recorded. */
     private volatile Consumer<String> onReceived = text -> {};
 
     private Socket client;
@@ -111,12 +111,12 @@
         assertTrue(delivered.isEmpty());
     }
 
-    /** Danger: the mark comes out after the bytes behind it were read and told, and takes the connection from under them. */
+    /** Guards against a shutdown of the output after later bytes were delivered, whose response would be lost. */
     @Test
     public void queuedFinishIsIgnoredWhenBytesAreDeliveredBeforeItTakesEffect() throws Exception {
         send("a");
         assertEquals("a", nextDelivered());
-        // More than a socket holds goes ahead of the mark, so that it waits until the client reads.
+        // More than the socket buffers hold, so that the queued finish waits until the client reads.
         byte[] largeResponse = new byte[8 << 20];
         thread.post(() -> {
             link.write(largeResponse);
--- a/balancer/src/test/java/baymoor/net/PauseDetectorTest.java
+++ b/balancer/src/test/java/baymoor/net/PauseDetectorTest.java
@@ -12,15 +12,16 @@
     public void tasksPostedRightAfterAPauseMayHaveArrivedAtItsStart() {
         pauseDetector.wokeUp(1_000_000, 1_900_000);
         assertEquals(1_000_000, pauseDetector.earliestArrival(1_901_000));
-        assertEquals("handed in before it", 990_000, pauseDetector.earliestArrival(990_000));
-        assertEquals("all that waited is read by then", 1_950_000, pauseDetector.earliestArrival(1_950_000));
+        assertEquals("posted before the pause", 990_000, pauseDetector.earliestArrival(990_000));
+        assertEquals(
+                "posted after everything that waited was read", 1_950_000, pauseDetector.earliestArrival(1_950_000));
     }
 
     @Test
     public void schedulingDelaysAndEarlyWakeUpsAreNotPauses() {
         pauseDetector.wokeUp(1_000_000, 1_060_000);
         assertEquals(1_061_000, pauseDetector.earliestArrival(1_061_000));
-        pauseDetector.wokeUp(2_000_000, 1_500_000); // woken early, as something came in
+        pauseDetector.wokeUp(2_000_000, 1_500_000); // woken before the timer by a posted task
         assertEquals(1_500_000, pauseDetector.earliestArrival(1_500_000));
     }
 
@@ -29,7 +30,7 @@
         pauseDetector.wokeUp(1_000_000, 1_500_000);
         pauseDetector.wokeUp(1_505_000, 1_700_000);
         assertEquals(
-                "what waited through the first was read in between",
+                "what waited during the first pause was read between the two",
                 1_505_000,
                 pauseDetector.earliestArrival(1_701_000));
         pauseDetector.wokeUp(1_710_000, 1_715_000);
