--- a/balancer/src/main/java/baymoor/counters/Count.java
+++ b/balancer/src/main/java/baymoor/counters/Count.java
@@ -1,6 +1,6 @@
 package baymoor.counters;
 
-/** What is counted. */
+/** The counters of a balancer. Their names in lower case are the names of the metrics. */
 public enum Count {
     CLIENTS_ACCEPTED,
     CLIENTS_CLOSED,
--- a/balancer/src/main/java/baymoor/counters/Counters.java
+++ b/balancer/src/main/java/baymoor/counters/Counters.java
@@ -3,22 +3,22 @@
 import java.util.Locale;
 import java.util.concurrent.atomic.AtomicLongArray;
 
-/** What came in, was sent and answered since the start. Any thread may count. */
+/** Counts events of one balancer since its start. Thread-safe. */
 public final class Counters {
 
     private final AtomicLongArray values = new AtomicLongArray(Count.values().length);
 
-    /** Adds one to a counter. */
+    /** Increments a counter by one. */
     public void add(Count counter) {
         values.incrementAndGet(counter.ordinal());
     }
 
-    /** The present value of a counter. */
+    /** Returns the value of a counter. */
     public long get(Count counter) {
         return values.get(counter.ordinal());
     }
 
-    /** One line a counter, {@code name:value}, zeros included so that a missing name is never a question. */
+    /** Returns one line {@code name:value} for each counter, including those that are zero. */
     public String report() {
         StringBuilder lines = new StringBuilder();
         for (Count counter : Count.values()) {
--- a/balancer/src/main/java/baymoor/counters/Invariant.java
+++ b/balancer/src/main/java/baymoor/counters/Invariant.java
@@ -2,14 +2,20 @@
 
 import java.util.concurrent.atomic.AtomicLong;
 
-/** What must hold: asserted where assertions are on, counted where they are off. */
+/** Checks of internal invariants: a violation is counted, and fails an assertion where assertions are enabled. Thread-safe. */
 public final class Invariant {
 
     private static final AtomicLong VIOLATIONS = new AtomicLong();
 
     private Invariant() {}
 
-    /** Gives {@code holds} back, so that the caller can go on safely in a release. */
+    /**
+     * Checks an invariant.
+     *
+     * @param holds   the condition
+     * @param message describes the violation
+     * @return {@code holds}, so that the caller can handle a violation where assertions are disabled
+     */
     public static boolean check(boolean holds, String message) {
         if (!holds) {
             VIOLATIONS.incrementAndGet();
@@ -18,7 +24,7 @@
         return holds;
     }
 
-    /** How many checks have failed since the start. */
+    /** Returns the number of violations since the start of the process. */
     public static long broken() {
         return VIOLATIONS.get();
     }
--- a/balancer/src/main/java/baymoor/serve/Balancer.java
+++ b/balancer/src/main/java/baymoor/serve/Balancer.java
@@ -11,12 +11,13 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 
-/** One balancer on sockets: its start and its end. */
+/** One balancer on sockets: starts it, reloads its configuration and drains it. */
 final class Balancer {
 
-    /** Of the heap, so that it bears what else there is beside the values of writes. */
+    /** The part of the heap that values of pending writes may take is one over this. */
     private static final int WRITE_VALUE_HEAP_DIVISOR = 6;
 
+    /** How much longer than the longest drain the process waits for it to end. */
     private static final long DRAIN_TIMEOUT_MARGIN_MICROS = 600_000;
 
     private final Settings settings;
@@ -48,7 +49,7 @@
                         log));
     }
 
-    /** Returns once it listens, or was told to end before that. */
+    /** Returns once the balancer listens, or once it has been drained before that. */
     void start() throws IOException, InterruptedException {
         if (settings.peerListen() != null && settings.module().limits().mayTellPeers()) {
             net.listenToPeers(settings.peerListen(), assembly::heard);
@@ -66,11 +67,15 @@
         }
     }
 
+    /** Applies a new configuration on the decision thread. */
     void reload(Settings newSettings) {
         decisionThread.post(() -> assembly.reload(newSettings));
     }
 
-    /** Serves on for a while, then takes nothing new, answers all that was taken, and returns; at once before it listens. */
+    /**
+     * Keeps serving for a grace period, then stops listening, answers all pending requests, logs the counters and returns.
+     * Returns at once if the balancer does not listen yet, and keeps it from doing so.
+     */
     void drain() {
         synchronized (this) {
             draining = true;
--- a/balancer/src/main/java/baymoor/serve/ConfigFileWatcher.java
+++ b/balancer/src/main/java/baymoor/serve/ConfigFileWatcher.java
@@ -8,8 +8,8 @@
 import java.util.Objects;
 
 /**
- * Notices that the configuration file was rewritten or replaced, for a process that SIGHUP can't reach. A signal that a parent ignores
- * stays ignored in the programs it starts, as {@code nohup} does with SIGHUP, and a JVM installs no handler then.
+ * Polls the configuration file for changes, for processes that do not receive SIGHUP: a signal that the parent ignores stays
+ * ignored in its child processes, as with {@code nohup}, and the JVM then installs no handler.
  */
 final class ConfigFileWatcher {
 
@@ -19,7 +19,7 @@
     private Version reported;
     private Version lastObserved;
 
-    /** What tells two versions of a file apart. */
+    /** The attributes by which versions of the file are distinguished. */
     private record Version(FileTime modified, long size, Object inode) {
 
         static Version of(Path path) {
@@ -27,19 +27,19 @@
                 BasicFileAttributes attributes = Files.readAttributes(path, BasicFileAttributes.class);
                 return new Version(attributes.lastModifiedTime(), attributes.size(), attributes.fileKey());
             } catch (IOException e) {
-                return null; // it is being replaced
+                return null; // absent while it is being replaced
             }
         }
     }
 
-    /** Changes count from now on, so it is to be made before the file is read for the first time. */
+    /** Records the present version; must be called before the file is first read, so that no change is missed. */
     ConfigFileWatcher(Path path) {
         this.path = path;
         reported = Version.of(path);
         lastObserved = reported;
     }
 
-    /** Whether there is a version that was not told of yet and that has stayed the same since the last look. */
+    /** Returns whether the file has a new version that has not changed since the last check, and reports each version once. */
     boolean checkForChange() {
         Version current = Version.of(path);
         boolean stable = current != null && current.equals(lastObserved);
@@ -51,7 +51,7 @@
         return true;
     }
 
-    /** Runs a task after each change, on a thread that doesn't keep the program alive. */
+    /** Starts a daemon thread that runs the task after each change. */
     void watch(Runnable task) {
         Thread thread = new Thread(() -> poll(task), "config-file");
         thread.setDaemon(true);
--- a/balancer/src/main/java/baymoor/serve/ConfigReloader.java
+++ b/balancer/src/main/java/baymoor/serve/ConfigReloader.java
@@ -4,8 +4,10 @@
 import baymoor.config.Config;
 
 /**
- * Reads the configuration again when that is asked for, one reading after another, so that the last one is the newest. What is
- * asked for while the program starts is done once it serves: the file may have been read before it was replaced.
+ * Reloads the configuration on request, one reload at a time, so that the last one applied is the newest. A request during startup
+ * is deferred until the balancer serves, since the file may have been read before it was replaced.
+ *
+ * <p>Thread-safe.
  */
 final class ConfigReloader {
 
@@ -13,20 +15,20 @@
     private Log log;
     private boolean reloadRequested;
 
-    /** SIGHUP has come, on whatever thread. */
+    /** Reloads the configuration, or marks it to be reloaded once a balancer is attached. */
     synchronized void requestReload() {
         reloadRequested = true;
         reloadIfRequested();
     }
 
-    /** From now on there is a balancer to hand it to. */
+    /** Sets the balancer to be configured, and performs a reload that was requested before. */
     synchronized void attach(Balancer runningBalancer, Log balancerLog) {
         balancer = runningBalancer;
         log = balancerLog;
         reloadIfRequested();
     }
 
-    /** A file that can't be used is logged, and what was read before stays. */
+    /** Logs an invalid file and keeps the previous configuration. */
     private void reloadIfRequested() {
         if (!reloadRequested || balancer == null) {
             return;
@@ -35,7 +37,7 @@
         try {
             balancer.reload(Config.read(System.getenv()));
         } catch (BadConfig | RuntimeException e) {
-            log.accept(e.getMessage() + "; the old configuration stays");
+            log.accept(e.getMessage() + "; keeping the previous configuration");
         }
     }
 }
--- a/balancer/src/main/java/baymoor/serve/Log.java
+++ b/balancer/src/main/java/baymoor/serve/Log.java
@@ -9,9 +9,9 @@
 import org.json.JSONObject;
 
 /**
- * The serving program's log on standard error: the fields of the tools' logs (time, level, instance, event, then names
- * with values), without their library, which would cost a third of a second at each start. {@code ROUTER_LOG=json}
- * makes each line a JSON object.
+ * Writes the balancer's log to a stream, normally standard error, with the same fields as the logs of the command-line tools:
+ * time, level, instance, event, then names with values. Uses no logging library, whose loading would delay the start.
+ * {@code ROUTER_LOG=json} makes each line a JSON object. Lines may be written from any thread.
  */
 final class Log implements Consumer<String> {
 
@@ -27,11 +27,12 @@
         this.json = json;
     }
 
+    /** Returns a log on standard error in the format that the environment asks for. */
     static Log fromEnvironment(Map<String, String> environment, String instance) {
         return new Log(System.err, Clock.systemUTC(), instance, "json".equals(environment.get("ROUTER_LOG")));
     }
 
-    /** A line of a state machine's: what stands before its first colon names the event. */
+    /** Logs a line of the form {@code event: detail}; one without an event is logged as {@code note}. */
     @Override
     public void accept(String line) {
         int colon = line.indexOf(": ");
@@ -45,8 +46,8 @@
     }
 
     /**
-     * As ISO 8601 has it. Measured: the JDK's formatters take 12 ms of a whole core when first used, which is the first line
-     * of the first busy second, on the decision thread; a date's own text needs none of them and takes 1 ms.
+     * Formats a time as ISO 8601 with milliseconds. Not with a {@code DateTimeFormatter}, whose initialization would stall the
+     * decision thread at the first logged line.
      */
     private static String formatTime(long epochMillis) {
         String text = LocalDateTime.ofEpochSecond(
@@ -56,7 +57,11 @@
         return withSeconds.indexOf('.') < 0 ? withSeconds + ".000Z" : withSeconds + "Z";
     }
 
-    /** @param values in the order in which they are to stand */
+    /**
+     * Logs an event.
+     *
+     * @param values names and values, in the order in which they are written
+     */
     void event(String level, String event, Map<String, String> values) {
         String timestamp = formatTime(clock.millis());
         StringBuilder line = new StringBuilder();
--- a/balancer/src/main/java/baymoor/serve/Main.java
+++ b/balancer/src/main/java/baymoor/serve/Main.java
@@ -9,8 +9,8 @@
 import java.time.Clock;
 
 /**
- * Command line entry: {@code serve} runs one balancer in the foreground until SIGTERM; {@code rehearse} is what the
- * build runs to learn which classes that takes.
+ * Entry point: {@code serve} runs one balancer in the foreground until SIGTERM; {@code rehearse} performs the warm-up alone, which
+ * the build uses to record the classes for the CDS archive.
  */
 public final class Main {
 
@@ -20,7 +20,7 @@
 
     private Main() {}
 
-    /** Serves until it is told to end; {@code rehearse} plays the rehearsal alone and ends. */
+    /** Runs the command given as the only argument. */
     public static void main(String[] args) {
         boolean warmUpOnly = args.length == 1 && args[0].equals("rehearse");
         if (!warmUpOnly && (args.length != 1 || !args[0].equals("serve"))) {
@@ -29,7 +29,7 @@
         }
         ConfigReloader reloader = new ConfigReloader();
         try {
-            // First of all, since SIGHUP ends a JVM that does not handle it, and may come while this one starts.
+            // Installed first, since SIGHUP ends a JVM without a handler and may arrive during startup.
             boolean sighupDelivered = SighupHandler.install(reloader::requestReload);
             ConfigFileWatcher configFileWatcher = sighupDelivered
                     ? null
@@ -37,18 +37,18 @@
             Settings settings = Config.read(System.getenv());
             Log log = Log.fromEnvironment(System.getenv(), settings.name());
             Balancer balancer = new Balancer(settings, log);
-            if (warmUpOnly) { // with the balancer made, so that its classes are in the archive too
+            if (warmUpOnly) { // after the balancer was created, so that its classes are archived too
                 WarmUp.runWithSockets(settings, WARM_UP_REQUESTS);
                 new Log(new PrintStream(OutputStream.nullOutputStream()), Clock.systemUTC(), "", false).accept("a: b");
                 System.exit(0);
             }
             WarmUp.run(settings.module(), WARM_UP_REQUESTS);
-            // Before it listens: a SIGTERM between the two would leave what was taken by then unanswered.
+            // Registered before listening: a SIGTERM in between would leave accepted requests unanswered.
             if (addShutdownHook(balancer::drain)) {
                 balancer.start();
                 reloader.attach(balancer, log);
                 if (configFileWatcher != null) {
-                    log.accept("config: SIGHUP is ignored in this process, the file is looked at instead");
+                    log.accept("config: SIGHUP is ignored in this process, polling the file instead");
                     configFileWatcher.watch(reloader::requestReload);
                 }
             }
@@ -56,17 +56,17 @@
             System.err.println(e.getMessage());
             System.exit(EXIT_CANNOT_START);
         } catch (IOException | RuntimeException e) {
-            System.err.println("can't listen: " + e.getMessage());
+            System.err.println("cannot listen: " + e.getMessage());
             System.exit(EXIT_CANNOT_START);
         } catch (ReflectiveOperationException e) {
-            System.err.println("can't handle SIGHUP: " + e);
+            System.err.println("cannot install a SIGHUP handler: " + e);
             System.exit(EXIT_CANNOT_START);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** False where the program was told to end already: the JVM takes no hook any more. */
+    /** Returns false if the JVM is shutting down already and accepts no more hooks. */
     private static boolean addShutdownHook(Runnable task) {
         try {
             Runtime.getRuntime().addShutdownHook(new Thread(task, "drain"));
--- a/balancer/src/main/java/baymoor/serve/SighupHandler.java
+++ b/balancer/src/main/java/baymoor/serve/SighupHandler.java
@@ -3,17 +3,17 @@
 import java.lang.reflect.Proxy;
 
 /**
- * SIGHUP, which would end the JVM. The JVM's own support for it is reached by reflection, since the compiler warns of
- * every use of it by name and takes no word against that.
+ * Handles SIGHUP, which by default ends the JVM. {@code sun.misc.Signal} is called by reflection, since the compiler warns of each
+ * direct use and the warning cannot be suppressed.
  */
 final class SighupHandler {
 
     private SighupHandler() {}
 
     /**
-     * Runs a task, on a thread of the JVM's, each time the signal comes.
+     * Runs a task on a JVM thread each time the signal arrives.
      *
-     * @return false if it never comes: the process was started with the signal ignored, and the JVM leaves that so
+     * @return false if the process was started with SIGHUP ignored, in which case the JVM leaves it ignored
      */
     static boolean install(Runnable task) throws ReflectiveOperationException {
         Class<?> signalClass = Class.forName("sun.misc.Signal");
--- a/balancer/src/main/java/baymoor/serve/WarmUp.java
+++ b/balancer/src/main/java/baymoor/serve/WarmUp.java
@@ -24,16 +24,16 @@
 import org.json.JSONObject;
 
 /**
- * Plays requests through a second set of the state machines, with hosts that are a few lines here and no socket, before
- * the first client comes. Seen: on half a core the first requests of a new JVM took half a second, in which classes
- * were loaded and nothing compiled; clients gave up, and every host seemed silent.
+ * Warms up the JVM before the balancer listens: sends requests through a separate set of the state machines, whose clients and
+ * hosts are in-memory stubs. Otherwise class loading and interpreted code delay the first requests beyond their deadlines, and
+ * every host appears unresponsive.
  */
 final class WarmUp {
 
     private static final int CLIENTS = 4;
     private static final int MAX_HOST_CONNECTIONS = 64;
     private static final long MAX_VALUE_BYTES = 1 << 20;
-    /** One in so many is a miss, and one a write of each kind: what goes to the origin is paced. */
+    /** Of this many requests one is a miss and one is of each class but the first, since attempts at the origin are paced. */
     private static final int VARIANT_INTERVAL = 32;
 
     private static final long TIMEOUT_MILLIS = 1_000;
@@ -103,7 +103,11 @@
                 .toString();
     }
 
-    /** Plays so many requests, or for a second; gives whether all were answered. */
+    /**
+     * Sends the given number of requests, for at most {@link #TIMEOUT_MILLIS}.
+     *
+     * @return whether all of them were answered
+     */
     static boolean run(Decisions.Settings decisionSettings, int requests) {
         if (decisionSettings.classes().isEmpty()) {
             return false;
@@ -126,7 +130,10 @@
         }
     }
 
-    /** As the build does it, for the archive of classes: the play, and one exchange over loopback each way. */
+    /**
+     * Sends the requests, then one datagram and one command over loopback, so that the CDS archive which the build makes
+     * holds the classes of the network too.
+     */
     static void runWithSockets(Settings settings, int requests) throws IOException {
         run(settings.module(), requests);
         WarmUp socketWarmUp = new WarmUp(settings.module(), 1);
@@ -160,7 +167,7 @@
         net.stopListening();
     }
 
-    /** A connection without a socket: what is written to it comes back as its other side's answer. */
+    /** A connection without a socket; {@link #onWritten} stands for its peer. */
     private abstract class StubLink implements Link {
         LinkEvents events;
         private boolean closed;
--- a/balancer/src/test/java/baymoor/ProgramIT.java
+++ b/balancer/src/test/java/baymoor/ProgramIT.java
@@ -181,7 +181,8 @@
         environment.start();
         assertTrue(environment.awaitWatchPort() > 0);
         environment.reload("{\"name\":");
-        assertTrue(environment.awaitLogLine("the old configuration stays").contains("config detail=\"not JSON"));
+        assertTrue(
+                environment.awaitLogLine("keeping the previous configuration").contains("config detail=\"not JSON"));
         String newConfig = environment.config();
         environment.reload(newConfig);
         assertTrue(newConfig.contains("\"discovery\":\"127.0.0.1:" + environment.awaitWatchPort() + "\""));
@@ -198,7 +199,7 @@
         assertTrue(environment.awaitWatchPort() > 0);
         assertNotNull(environment.awaitLogLine("SIGHUP is ignored"));
         environment.reload("{\"name\":");
-        assertNotNull(environment.awaitLogLine("the old configuration stays"));
+        assertNotNull(environment.awaitLogLine("keeping the previous configuration"));
         String newConfig = environment.config();
         environment.reload(newConfig);
         assertTrue(newConfig.contains("\"discovery\":\"127.0.0.1:" + environment.awaitWatchPort() + "\""));
--- a/balancer/src/test/java/baymoor/serve/ConfigFileWatcherTest.java
+++ b/balancer/src/test/java/baymoor/serve/ConfigFileWatcherTest.java
@@ -11,7 +11,6 @@
 import org.junit.Test;
 import org.junit.rules.TemporaryFolder;
 
-/** The configuration file, looked at where no signal tells of its changes. */
 public class ConfigFileWatcherTest {
 
     @Rule
@@ -26,7 +25,7 @@
         ConfigFileWatcher watcher = new ConfigFileWatcher(write("config", "one"));
         assertFalse(watcher.checkForChange());
         write("config", "half");
-        assertFalse("it may still be being written", watcher.checkForChange());
+        assertFalse("it may still be incomplete", watcher.checkForChange());
         write("config", "whole now");
         assertFalse(watcher.checkForChange());
         assertTrue(watcher.checkForChange());
@@ -39,7 +38,7 @@
         ConfigFileWatcher watcher = new ConfigFileWatcher(path);
         Files.move(write("other", "two"), path, StandardCopyOption.REPLACE_EXISTING);
         assertFalse(watcher.checkForChange());
-        assertTrue("as long, but another file", watcher.checkForChange());
+        assertTrue("same size, but another file", watcher.checkForChange());
         Files.delete(path);
         assertFalse(watcher.checkForChange());
         assertFalse(watcher.checkForChange());
--- a/balancer/src/test/java/baymoor/serve/LogTest.java
+++ b/balancer/src/test/java/baymoor/serve/LogTest.java
@@ -11,7 +11,6 @@
 import org.json.JSONObject;
 import org.junit.Test;
 
-/** The lines that people and programs read. */
 public class LogTest {
 
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
--- a/balancer/src/test/java/baymoor/serve/WarmUpTest.java
+++ b/balancer/src/test/java/baymoor/serve/WarmUpTest.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import org.junit.Test;
 
-/** What makes a start quick and keeps it within the memory. */
+/** The start of a balancer: the JVM's warm-up, its heap options and the start command. */
 public class WarmUpTest {
 
     private static final String SMALLEST_HEAP = "-Xms16m -Xmx16m";
@@ -46,14 +46,11 @@
         }
         Files.delete(file);
         assertEquals(SMALLEST_HEAP, heapOptions(file.toString()));
-        assertEquals("a folder", SMALLEST_HEAP, heapOptions("deploy"));
+        assertEquals("a directory", SMALLEST_HEAP, heapOptions("deploy"));
         assertEquals("not set", SMALLEST_HEAP, heapOptions(""));
     }
 
-    /**
-     * Danger: patterns over the whole text took time with its square, 3 s for 200 routers and hours for these. On one line,
-     * as programs write it, and on lines of their own.
-     */
+    /** Guards against shell patterns over the whole text, which take quadratic time; on one line and on several. */
     @Test(timeout = 120_000)
     public void readingTheMemoryLimitTakesTimeLinearInTheFileSize() throws Exception {
         Path file = Files.createTempFile("config", ".json");
@@ -69,7 +66,7 @@
         Files.delete(file);
     }
 
-    /** What a shell that may start nothing else makes of the file: with no PATH there is no program to be found. */
+    /** Returns the options that the script derives from the file; with an empty PATH the shell can run no other program. */
     private static String heapOptions(String file) throws Exception {
         ProcessBuilder shell = new ProcessBuilder("/bin/sh", "-c", "PATH=; . ./deploy/heap.sh; echo \"$heap\"");
         shell.environment().put("ROUTER_CONFIG", file);
@@ -77,7 +74,7 @@
         return new String(shell.start().getInputStream().readAllBytes(), StandardCharsets.US_ASCII).trim();
     }
 
-    /** Danger: where the platform refuses fork, a subshell or a pipe in the start line is a balancer that never starts. */
+    /** Guards against a subshell or a pipe in the start command, which fails where the platform forbids fork. */
     @Test
     public void theStartCommandForksNoProcess() throws Exception {
         String runCommand = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
