--- a/balancer/src/test/java/baymoor/AttemptDeadlineIT.java
+++ b/balancer/src/test/java/baymoor/AttemptDeadlineIT.java
@@ -16,10 +16,9 @@
 import org.junit.Test;
 
 /**
- * The time that each further attempt tells routers and origin, read from the wire by stand-ins. Every bound follows from the order
- * of events and not from the machine's speed: a request had been read before its first attempt came, and an attempt can't leave
- * before the one ahead of it has ended. What is left to the client by then is the most that an attempt may tell. A bound on its
- * arrival would have to allow for client, balancer and stand-in that are held up themselves.
+ * The deadline that each attempt carries to a router or the origin must not exceed the client's remaining time. The bounds follow
+ * from the order of events, not from timing: a request is read before its first attempt arrives, and an attempt is sent after the
+ * previous one has ended. So a slow machine cannot fail these tests.
  */
 public class AttemptDeadlineIT {
 
@@ -29,43 +28,43 @@
     private static final String ORIGIN_VALUE = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv";
     private static final String FAILED = "HTTP/1.1 500 Failed\r\nContent-Length: 0\r\n\r\n";
     private static final String RESET = "close";
-    /** Null to the stand-in: it does not answer, and the balancer's time-out ends the attempt. */
+    /** The stub server does not answer, and the balancer's time-out ends the attempt. */
     private static final String NO_RESPONSE = null;
 
     private static final String HANGING_ID_PREFIX = "hangs";
     private static final long DEADLINE_MILLIS = 6_000;
-    /** As long as the balancer allows a connection to come up in the tests of late ones. */
+    /** As long as the connect time-out in the tests of delayed connections. */
     private static final long LONG_DEADLINE_MILLIS = 15_000;
-    /** How long a stand-in holds back its answer. An attempt that tells the client's own deadline tells too much by as much. */
+    /** How long a stub server delays its answer: by this much the client's original deadline exceeds the remaining time. */
     private static final long ANSWER_DELAY_MILLIS = 200;
-    /** So many unanswered attempts put a router in doubt: then an attempt gets a part of the time that is left. */
+    /** After this many unanswered attempts a router is suspect, and an attempt gets only a part of the remaining time. */
     private static final int TIMEOUTS_BEFORE_SUSPECT = 3;
 
     private static final Pattern DEADLINE_FACT = Pattern.compile("(?:.*[ ,])?d=([0-9]+)(?:,.*)?");
 
     private final BalancerEnvironment environment = new BalancerEnvironment();
-    /** Attempts of the request that is looked at, in the order in which they came. */
+    /** Attempts of the request under test, in order of arrival. */
     private final List<Attempt> attempts = new ArrayList<>();
-    /** How these attempts end, in order; what comes after them is served. */
+    /** Responses to these attempts, in order; further attempts are served. */
     private List<String> responses = List.of();
 
     private int requestCount;
-    /** Unanswered requests that are not looked at, by the time of their first attempt. */
+    /** Arrival times of the attempts that are left unanswered to make a router suspect. */
     private final BlockingQueue<Long> hanging = new LinkedBlockingQueue<>();
 
     /**
-     * One attempt as a stand-in got it.
+     * One attempt as a stub server received it.
      *
-     * @param receivedNanos  when it came
-     * @param answeredNanos when the stand-in let it end, or 0 where the balancer's time-out has to
+     * @param receivedNanos when it arrived
+     * @param answeredNanos when the stub server answered, or 0 where the balancer's time-out ends the attempt
      */
     private record Attempt(boolean origin, long deadlineMillis, long receivedNanos, long answeredNanos) {
 
         /**
-         * At least so much of the client's time has passed when an attempt that follows this one leaves.
+         * Returns a lower bound on the client's elapsed time when the next attempt is sent.
          *
-         * @param elapsedNanos the same for this attempt
-         * @param firstReceivedNanos  when the first attempt of the request came
+         * @param elapsedNanos       the same for this attempt
+         * @param firstReceivedNanos when the first attempt of the request arrived
          */
         long elapsedAtNext(long elapsedNanos, long firstReceivedNanos) {
             return answeredNanos > 0
@@ -99,7 +98,7 @@
         return nextResponse(true, facts);
     }
 
-    /** Keeps what an attempt told, and ends it as the test says. Attempts of one request come one after another. */
+    /** Records an attempt and returns the response that the test has set. Attempts of one request are sequential. */
     private synchronized String nextResponse(boolean origin, String facts) {
         Matcher deadline = DEADLINE_FACT.matcher(facts);
         long deadlineMillis = deadline.matches() ? Long.parseLong(deadline.group(1)) : Long.MAX_VALUE;
@@ -126,7 +125,7 @@
         return new String[] {"OBJ.GET", "0a", id, "c=map-read,t=fraser-surveyors,d=" + deadlineMillis};
     }
 
-    /** Asks once, and checks where each attempt went and that none told more time than was left to the client. */
+    /** Sends one request, and checks the target of each attempt and that its deadline is within the client's remaining time. */
     private void assertAttempts(List<String> expected, String... responsesInOrder) throws IOException {
         synchronized (this) {
             responses = Arrays.asList(responsesInOrder);
@@ -152,7 +151,7 @@
 
     private void assertDeadlineWithin(Attempt attempt, long deadlineMillis, long elapsedNanos) {
         long remainingMillis = deadlineMillis - TimeUnit.NANOSECONDS.toMillis(elapsedNanos);
-        assertTrue(attempts + ": " + remainingMillis + " ms were left", attempt.deadlineMillis() <= remainingMillis);
+        assertTrue(attempts + ": " + remainingMillis + " ms remained", attempt.deadlineMillis() <= remainingMillis);
         assertTrue(attempts.toString(), attempt.deadlineMillis() > 0);
     }
 
@@ -189,10 +188,7 @@
         assertAttempts(List.of("router", "router", "origin"), BUSY, MISS);
     }
 
-    /**
-     * The time told is the time kept: the attempt that timed out was waited for as long as it told, so that its time and the next
-     * one's are together no more than the client's.
-     */
+    /** An attempt that times out has used up its own deadline, which the next one must leave out. */
     @Test
     public void afterATimeoutRouterAndOriginGetTheRemainingTime() throws Exception {
         start();
@@ -202,7 +198,7 @@
             BalancerEnvironment.Client client = environment.client();
             clients.add(client);
             client.send(mapRead(HANGING_ID_PREFIX + i, DEADLINE_MILLIS));
-            assertTrue("the attempt came", hanging.poll(20, TimeUnit.SECONDS) != null);
+            assertTrue("the attempt has arrived", hanging.poll(20, TimeUnit.SECONDS) != null);
         }
         assertAttempts(List.of("router", "router", "origin"), NO_RESPONSE, MISS);
         for (BalancerEnvironment.Client client : clients) {
@@ -229,8 +225,8 @@
     }
 
     /**
-     * The last attempt waits for its connection, which can't come up before the late host takes it. The class is one whose attempts
-     * are waited for as long as the client waits, so that time told as of the order would be too much.
+     * Delays the connection of the last attempt. The request's class grants an attempt the client's whole remaining time, so a
+     * deadline computed before the connection was established would be too long.
      */
     private void assertDeadlineAfterConnectionDelay(
             BalancerEnvironment.DelayedServer delayedServer, List<String> expected) throws Exception {
@@ -245,14 +241,14 @@
             synchronized (this) {
                 assertEquals(expected, attempts.stream().map(Attempt::target).toList());
                 long requestReadNanos =
-                        expected.size() > 1 ? attempts.get(0).receivedNanos() : attemptStartedNanos; // or before
+                        expected.size() > 1 ? attempts.get(0).receivedNanos() : attemptStartedNanos; // at the latest
                 assertDeadlineWithin(
                         attempts.get(attempts.size() - 1), LONG_DEADLINE_MILLIS, acceptedNanos - requestReadNanos);
             }
         }
     }
 
-    /** Aims that a machine at work on much else keeps too. */
+    /** Sets a latency target that a busy machine meets too. */
     private BalancerEnvironment withLongTargetLatency() {
         return environment.replacing("\"on_time\": 800000", "\"on_time\": 4000000");
     }
--- a/balancer/src/test/java/baymoor/BalancerEnvironment.java
+++ b/balancer/src/test/java/baymoor/BalancerEnvironment.java
@@ -27,7 +27,9 @@
 import java.util.function.Function;
 import java.util.stream.Stream;
 
-/** What the built program needs round it, on free loopback ports: discovery, routers, an origin and clients. */
+/**
+ * Runs the built balancer in a process of its own, with stub discovery, routers, origin and clients on free loopback ports.
+ */
 final class BalancerEnvironment implements Closeable {
 
     private static final int TIMEOUT_MILLIS = 20_000;
@@ -47,10 +49,10 @@
     private BufferedReader errorOutput;
     private Path configFile;
 
-    /** One message that a router or the origin got, and when. */
+    /** A request that a router or the origin received, and when. */
     record ReceivedMessage(List<String> parts, long receivedNanos) {}
 
-    /** A router or origin: {@code answer} gives its answer, null for silence, "close" to break the connection. */
+    /** A router or origin; {@code answer} returns its response, null for none, {@code "close"} to close the connection. */
     final class StubServer {
         final List<ReceivedMessage> received = new CopyOnWriteArrayList<>();
         final int port;
@@ -75,22 +77,27 @@
         }
     }
 
-    /** A router or origin whose machine takes no connection up until {@link #acceptConnections} is counted down. */
+    /** A router or origin whose connections are not established until {@link #acceptConnections} is counted down. */
     final class DelayedServer {
         final BlockingQueue<List<String>> received = new LinkedBlockingQueue<>();
         final CountDownLatch acceptConnections = new CountDownLatch(1);
 
-        /** A router. */
+        /** Adds a router. */
         DelayedServer(String name, String answer) throws IOException {
             this(name, "two-core", parts -> answer);
         }
 
-        /** @param type the type that discovery tells, {@code origin} for one that speaks HTTP */
+        /**
+         * Adds a router or an origin.
+         *
+         * @param type the type in the list of discovery; {@code origin} speaks HTTP
+         */
         DelayedServer(String name, String type, Function<List<String>, String> answer) throws IOException {
             boolean http = type.equals("origin");
             ServerSocket server = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
             resources.add(server);
-            // So many fill its queue: further calls are passed over, and come again after a second.
+            // Two connections fill the backlog of one: the kernel drops further SYNs, and clients resend them after a
+            // second.
             for (int i = 0; i < 2; i++) {
                 resources.add(new Socket(server.getInetAddress(), server.getLocalPort()));
             }
@@ -116,7 +123,7 @@
             });
         }
 
-        /** The first command that comes, or null. */
+        /** Returns the next request, or null if none arrives in time. */
         List<String> awaitRequest() throws InterruptedException {
             return received.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         }
@@ -153,7 +160,7 @@
             try {
                 task.run();
             } catch (IOException e) {
-                // The other side, or the end of the test, has closed it.
+                // Closed by the peer or at the end of the test.
             }
         });
         thread.setDaemon(true);
@@ -177,10 +184,10 @@
                 + "\",\"group\":0,\"status\":\"" + status + "\",\"weight\":1.0,\"since_ms\":" + since + "}";
     }
 
-    /** Tells a change on every watch, once there is one. */
+    /** Sends a changed endpoint on every watch, after waiting for the first watch. */
     void publish(int index, String endpoint) throws IOException, InterruptedException {
         if (!watchStarted.await(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
-            throw new IOException("the program does not watch");
+            throw new IOException("the balancer does not watch discovery");
         }
         for (OutputStream watch : watchOutputs) {
             writeChunk(watch, "{\"index\":" + index + ",\"snapshot\":false,\"endpoints\":[" + endpoint + "]}\n");
@@ -192,7 +199,7 @@
         out.flush();
     }
 
-    /** A call for the list that a test answers by itself. */
+    /** A request for the list, which the test answers. */
     final class DiscoveryCall {
         final long receivedNanos = System.nanoTime();
         final String target;
@@ -203,17 +210,17 @@
             this.socket = socket;
         }
 
-        /** Ends it with no answer. */
+        /** Closes the connection without a response. */
         void closeUnanswered() throws IOException {
             socket.close();
         }
 
-        /** Where it was called. */
+        /** Returns the local port of the discovery that was called. */
         int port() {
             return socket.getLocalPort();
         }
 
-        /** The head of a watch. */
+        /** Sends the header of a watch's response. */
         DiscoveryCall startWatch() throws IOException {
             writeHeader(socket.getOutputStream());
             return this;
@@ -225,18 +232,18 @@
         }
     }
 
-    /** The list with all routers and origins in service. */
+    /** Returns a snapshot with all routers and origins in service. */
     String fullList(int index) {
         return "{\"index\":" + index + ",\"snapshot\":true,\"endpoints\":[" + String.join(",", endpoints) + "]}";
     }
 
-    /** From now on the calls for lists are answered by the test, each got from here. */
+    /** Lets the test answer requests for lists, as returned by {@link #awaitDiscoveryCall}. */
     BalancerEnvironment scriptingDiscovery() {
         scriptsDiscovery = true;
         return this;
     }
 
-    /** The next call for the list. */
+    /** Returns the next request for a list, or null if none arrives in time. */
     DiscoveryCall awaitDiscoveryCall() throws InterruptedException {
         return discoveryCalls.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
@@ -245,7 +252,7 @@
         out.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** Another discovery, which tells the same list; its port. */
+    /** Starts another discovery with the same list and returns its port. */
     private int startDiscovery() throws IOException {
         return listen(socket -> {
             InputStream in = new BufferedInputStream(socket.getInputStream());
@@ -280,38 +287,38 @@
         return config;
     }
 
-    /** From now on configurations hold another text in the place of one of theirs. */
+    /** Replaces a text in the configurations returned from now on. */
     BalancerEnvironment replacing(String oldText, String newText) {
         replacements.put(oldText, newText);
         return this;
     }
 
-    /** From now on programs are started as nohup would: with SIGHUP ignored. */
+    /** Starts balancers with SIGHUP ignored from now on, as {@code nohup} does. */
     BalancerEnvironment ignoringSighup() {
         ignoresSighup = true;
         return this;
     }
 
-    /** From now on configurations say that lists are pushed: the discovery is the agent of this machine. */
+    /** Configures pushed lists from now on, so that the discovery acts as the agent of this machine. */
     BalancerEnvironment pushingLists() {
         pushesLists = true;
         return this;
     }
 
-    /** Starts the built program by the deploy file's own line, with assertions on, and waits until it answers. */
+    /** Starts the balancer and waits until it answers. */
     BalancerEnvironment start() throws IOException {
         process = launch(config());
         return awaitReady();
     }
 
-    /** How many descriptors the program holds. */
+    /** Returns the number of open file descriptors of the balancer. */
     long openDescriptors() throws IOException {
         try (Stream<Path> all = Files.list(Path.of("/proc/" + process.pid() + "/fd"))) {
             return all.count();
         }
     }
 
-    /** Whether somebody listens where the program is to. */
+    /** Returns whether the balancer's port accepts connections. */
     boolean isListening() {
         try (Client client = client()) {
             return client.socket().isConnected();
@@ -320,7 +327,7 @@
         }
     }
 
-    /** Waits until the program that was launched answers. */
+    /** Waits until the launched balancer answers a PING. */
     BalancerEnvironment awaitReady() throws IOException {
         long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MILLIS);
         while (true) {
@@ -338,6 +345,7 @@
         }
     }
 
+    /** Starts the balancer by the command of the deploy file, without waiting for it. */
     Process launch(String config) throws IOException {
         configFile = Files.createTempFile("config", ".json");
         Path createdFile = configFile;
@@ -351,7 +359,7 @@
         return process;
     }
 
-    /** A command of the deploy file, with assertions on. */
+    /** Returns a command of the deploy file, with assertions enabled. */
     static String deployCommand(String name) throws IOException {
         String start = name + " = \"";
         return Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
@@ -371,13 +379,13 @@
                 .waitFor();
     }
 
-    /** The port of the next discovery that is watched. */
+    /** Returns the port of the next discovery that the balancer watches, or -1 if it watches none in time. */
     int awaitWatchPort() throws InterruptedException {
         Integer port = watchPorts.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         return port == null ? -1 : port;
     }
 
-    /** The next line on the program's standard error that holds a text. */
+    /** Returns the next line on standard error that contains the text, or null at the end of the stream. */
     String awaitLogLine(String text) throws IOException {
         String line = errorOutput.readLine();
         while (line != null && !line.contains(text)) {
@@ -386,7 +394,7 @@
         return line;
     }
 
-    /** Waits until the program's counters hold a line. */
+    /** Waits until the balancer's counters contain a line, such as {@code relays:1}. */
     void awaitCounter(String line) throws IOException {
         long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MILLIS);
         try (Client client = client()) {
@@ -408,7 +416,7 @@
         return new Client(new Socket("127.0.0.1", port));
     }
 
-    /** A client's connection. */
+    /** A connection of a client. */
     record Client(Socket socket) implements Closeable {
         Client {
             try {
@@ -442,7 +450,7 @@
             return BalancerEnvironment.readLine(socket.getInputStream());
         }
 
-        /** An answer: an error line, or the text of a bulk string. */
+        /** Reads a response: an error line, or the text of a bulk string. */
         String readAnswer() throws IOException {
             String header = readLine();
             if (!header.startsWith("$")) {
@@ -488,7 +496,7 @@
         return parts;
     }
 
-    /** The request line, the headers in small letters, and the body. */
+    /** Returns the request line, the headers with names in lower case, and the body. */
     private static List<String> readHttpRequest(InputStream in) throws IOException {
         List<String> parts = new ArrayList<>(List.of(readLine(in)));
         int length = 0;
@@ -504,9 +512,9 @@
     }
 
     /**
-     * Keeps a free port for the program. Seen: between the choice of a port and the program's start another test of the machine
-     * took it, and one's client spoke with the other's program. A socket that is bound and does not listen keeps the port from
-     * being chosen again, and the program, which reuses addresses as well, may still listen there.
+     * Reserves a free port for the balancer, so that no other process takes it before the balancer starts. A socket that is
+     * bound and does not listen keeps the kernel from choosing the port again, while the balancer may still listen there, since
+     * both set SO_REUSEADDR.
      */
     private static Socket reservePort() {
         try {
--- a/balancer/src/test/java/baymoor/ConcurrentEventsIT.java
+++ b/balancer/src/test/java/baymoor/ConcurrentEventsIT.java
@@ -18,10 +18,7 @@
 import org.junit.After;
 import org.junit.Test;
 
-/**
- * Two events that cross, with the built program on loopback: the stand-ins hold one of them back until the other is seen to
- * have happened.
- */
+/** Concurrent events at the built balancer: stub servers hold one event back until the other one has happened. */
 public class ConcurrentEventsIT {
 
     private static final String VALUE = "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n";
@@ -33,7 +30,7 @@
         environment.close();
     }
 
-    /** A read that waits at its cache for as long as its client does. */
+    /** A read whose attempt has the client's whole deadline. */
     private static String[] orderRead(String id) {
         return new String[] {"OBJ.GET", "0a", id, "c=search-order,t=fraser-surveyors,d=15000"};
     }
@@ -72,7 +69,7 @@
         environment.awaitCounter("relays_served:1");
     }
 
-    /** Danger: a client that is read no further because it sent much is not seen to leave, and all that it sent goes on. */
+    /** Guards against a disconnect that goes unnoticed while reading is suspended, so that all queued requests are attempted. */
     @Test
     public void aDisconnectIsNoticedWhileReadingIsSuspended() throws Exception {
         BalancerEnvironment.StubServer router = environment.router("s-a", 0, parts -> null);
@@ -90,7 +87,7 @@
         assertTrue(router.received.size() <= 128);
     }
 
-    /** Danger: a request that is read in the moment in which its connection is closed, and neither answered nor left unread. */
+    /** Guards against a request that is read while its connection is being closed, and then never answered. */
     @Test
     public void requestsReadDuringShutdownAreAnswered() throws Exception {
         BalancerEnvironment.StubServer router = environment.router("s-a", 0, parts -> VALUE);
@@ -108,7 +105,7 @@
                         client.send("OBJ.GET", "0a", id, "c=map-read,t=fraser-surveyors,d=1400");
                         String answer = client.readAnswer();
                         if (answer.startsWith("-")) {
-                            continue; // refused, as too many came at once
+                            continue; // refused under load
                         }
                         assertEquals("v", answer);
                         answered.add(id);
@@ -117,7 +114,7 @@
                         }
                     }
                 } catch (EOFException e) {
-                    return answered; // between two answers; a reset is no such end
+                    return answered; // closed between two answers; a reset would fail the test
                 }
             }));
         }
@@ -132,14 +129,14 @@
         Set<String> unansweredIds = new HashSet<>();
         router.received.forEach(message -> unansweredIds.add(message.parts().get(2)));
         unansweredIds.removeAll(answered);
-        assertEquals("sent on and not answered", Set.of(), unansweredIds);
+        assertEquals("forwarded but not answered", Set.of(), unansweredIds);
     }
 
     private static String[] mapRead(int key) {
         return new String[] {"OBJ.GET", Integer.toHexString(key), "id" + key, "c=map-read,t=fraser-surveyors,d=1400"};
     }
 
-    /** What a list that has fallen silent misses counts as told 6 s later, whatever becomes of a call. */
+    /** A change counts as known 6 s after the watch has fallen silent, even if a request for the list is never answered. */
     @Test
     public void aSilentWatchIsReplacedInTimeThoughTheFirstCallIsNeverAnswered() throws Exception {
         BalancerEnvironment.StubServer drainingRouter = environment.router("s-a", 0, parts -> VALUE);
@@ -150,7 +147,7 @@
         BalancerEnvironment.DiscoveryCall unansweredCall = environment.awaitDiscoveryCall();
         BalancerEnvironment.DiscoveryCall secondCall = environment.awaitDiscoveryCall();
         long elapsedMillis = TimeUnit.NANOSECONDS.toMillis(secondCall.receivedNanos - lastListNanos);
-        assertTrue("asked again " + elapsedMillis + " ms after the silence began", elapsedMillis < 5_500);
+        assertTrue("second request " + elapsedMillis + " ms after the last list", elapsedMillis < 5_500);
         secondCall
                 .startWatch()
                 .sendChunk(environment.fullList(2))
@@ -171,7 +168,7 @@
         }
     }
 
-    /** What the agent holds counts as told from the first moment of a new process, whose configuration may be old. */
+    /** The agent's list applies from the first request on, since the configured list may be outdated. */
     @Test
     public void noClientIsServedBeforeTheAgentsFirstList() throws Exception {
         BalancerEnvironment.StubServer drainingRouter = environment.router("s-a", 0, parts -> VALUE);
@@ -179,7 +176,7 @@
         environment.pushingLists().scriptingDiscovery();
         environment.launch(environment.config());
         BalancerEnvironment.DiscoveryCall firstCall = environment.awaitDiscoveryCall();
-        assertFalse("before it is answered nobody is let in", environment.isListening());
+        assertFalse("listens before the first list", environment.isListening());
         String inService = BalancerEnvironment.endpoint("s-a", drainingRouter.port, "two-core", "in_service", 0);
         firstCall
                 .startWatch()
@@ -209,13 +206,13 @@
         environment.router("s-a", 0, parts -> VALUE);
         environment.pushingLists().scriptingDiscovery();
         environment.launch(environment.config());
-        environment.awaitDiscoveryCall(); // from here on the program handles signals, and waits for the agent
+        environment.awaitDiscoveryCall(); // by now the balancer handles signals and waits for the agent
         environment.process().toHandle().destroy();
         assertTrue(environment.process().waitFor(20, TimeUnit.SECONDS));
         assertFalse(environment.isListening());
     }
 
-    /** Danger: a JVM that does not handle SIGHUP yet ends by it, and one that has read its file keeps the old one. */
+    /** Guards against a SIGHUP that ends the JVM before its handler is installed, or is lost after the file was read. */
     @Test
     public void sighupDuringStartupReloadsOnceServing() throws Exception {
         environment.router("s-a", 0, parts -> VALUE);
@@ -259,7 +256,7 @@
         assertTrue(environment.process().waitFor(20, TimeUnit.SECONDS));
     }
 
-    /** Clients that ask for nothing may take every descriptor while discovery is down; its return and the routers find room. */
+    /** Guards against idle clients that take every descriptor while discovery is down, so that it cannot be reached again. */
     @Test
     public void idleClientsLeaveDescriptorsForDiscoveryAndRouters() throws Exception {
         environment.router("s-a", 0, parts -> VALUE);
--- a/balancer/src/test/java/baymoor/FakeLink.java
+++ b/balancer/src/test/java/baymoor/FakeLink.java
@@ -4,12 +4,12 @@
 import baymoor.link.LinkEvents;
 import java.nio.charset.StandardCharsets;
 
-/** A connection without a socket: keeps what was written, and does only what the test says. */
+/** A connection without a socket: records what is written, and raises events only as the test directs. */
 public final class FakeLink implements Link {
     public final StringBuilder out = new StringBuilder();
     public LinkEvents events;
     public boolean closed;
-    /** Whether what is written leaves at once. */
+    /** Whether a write reports {@link LinkEvents#written} at once. */
     public boolean leaves;
 
     public boolean reading = true;
@@ -54,10 +54,12 @@
         reading = on;
     }
 
+    /** Delivers bytes to the state machine. */
     public void in(String text) {
         events.received(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
+    /** Returns what was written since the last call. */
     public String takeOut() {
         String text = out.toString();
         out.setLength(0);
--- a/balancer/src/test/java/baymoor/LayoutTest.java
+++ b/balancer/src/test/java/baymoor/LayoutTest.java
@@ -9,7 +9,7 @@
 import com.tngtech.archunit.lang.syntax.ArchRuleDefinition;
 import org.junit.Test;
 
-/** Who may import whom, as the README draws it. */
+/** The allowed dependencies between packages, as documented in the README. */
 public class LayoutTest {
 
     @Test
@@ -45,7 +45,7 @@
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage("org.apache.mina..", "java.nio.channels..")
-                .because("a state machine knows no socket")
+                .because("state machines must not depend on sockets")
                 .check(classes);
         ArchRuleDefinition.noClasses()
                 .that()
@@ -59,7 +59,7 @@
                         long.class,
                         merlinstep.Decisions.Event.class,
                         merlinstep.Decisions.Sink.class)
-                .because("dispatch alone calls the decisions")
+                .because("only dispatch may call the decisions")
                 .check(classes);
         ArchRuleDefinition.noClasses()
                 .that()
@@ -67,7 +67,7 @@
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage("baymoor.resp..", "baymoor.http..")
-                .because("dispatch knows no protocol")
+                .because("dispatch must not depend on protocols")
                 .check(classes);
     }
 }
--- a/balancer/src/test/java/baymoor/ManualTime.java
+++ b/balancer/src/test/java/baymoor/ManualTime.java
@@ -5,12 +5,12 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** A clock that a test moves. */
+/** A clock and timers that a test advances. */
 public final class ManualTime implements Time {
     private record ScheduledTask(long dueMicros, int sequence, Runnable task) {}
 
     private final List<ScheduledTask> timers = new ArrayList<>();
-    /** How long what is told now may have waited. */
+    /** How long before now the current event may have arrived, in microseconds. */
     public long waited;
 
     private long nowMicros = 1_000_000;
@@ -33,7 +33,7 @@
         return () -> timers.remove(timer);
     }
 
-    /** Moves on and runs what falls due, in order. */
+    /** Advances the clock and runs the timers that fall due, in order. */
     public void pass(long micros) {
         long endMicros = nowMicros + micros;
         while (true) {
--- a/balancer/src/test/java/baymoor/ProgramIT.java
+++ b/balancer/src/test/java/baymoor/ProgramIT.java
@@ -18,7 +18,7 @@
 import org.junit.After;
 import org.junit.Test;
 
-/** The built program as its clients and operators meet it. */
+/** End-to-end tests of the built balancer: serving, signals, configuration and resource limits. */
 public class ProgramIT {
 
     private final BalancerEnvironment environment = new BalancerEnvironment();
@@ -60,7 +60,7 @@
         assertTrue(facts, facts.matches("x-facts: c=map-read,t=fraser-surveyors,d=[0-9]+,size=2.5"));
         long attemptMillis = Long.parseLong(facts.replaceAll(".*,d=([0-9]+),.*", "$1"));
         assertTrue(
-                "what is left of the client's 1400 ms, less the way there and back",
+                "remaining time of the client's 1400 ms, less the round trip",
                 attemptMillis > 0 && attemptMillis <= 1398);
     }
 
@@ -109,7 +109,7 @@
             assertEquals("+PONG", clients.get(i).request("PING"));
         }
         assertEquals(
-                "the oldest was idle longest",
+                "the connection that was idle longest is evicted",
                 -1,
                 clients.get(0).socket().getInputStream().read());
         assertEquals("v", clients.get(699).request(mapRead("0a", "1")));
@@ -141,7 +141,7 @@
         String status =
                 Files.readString(Path.of("/proc/" + environment.process().pid() + "/status"));
         int peakMegabytes = Integer.parseInt(status.replaceAll("(?s).*VmHWM:\\s*([0-9]+) kB.*", "$1")) / 1024;
-        assertTrue(peakMegabytes + " MB at the most", peakMegabytes < 128);
+        assertTrue(peakMegabytes + " MB at the peak", peakMegabytes < 128);
     }
 
     @Test
@@ -163,7 +163,7 @@
         try (BalancerEnvironment.Client waiting = environment.client()) {
             waiting.send(mapRead("0a", "1"));
             assertTrue(requestReceived.await(10, TimeUnit.SECONDS));
-            environment.process().toHandle().destroy(); // Process.destroy would close its error stream
+            environment.process().toHandle().destroy(); // Process.destroy would close the error stream
             try (BalancerEnvironment.Client lateClient = environment.client()) {
                 assertEquals("v", lateClient.request(mapRead("0b", "2")));
             }
@@ -191,7 +191,7 @@
         }
     }
 
-    /** Seen: balancers started in the background by nohup never followed discovery, and sent on to routers that drained. */
+    /** Guards against balancers started by nohup that never follow a change of discovery. */
     @Test
     public void theFileIsPolledWhenSighupIsIgnored() throws Exception {
         environment.router("s-a", 0, parts -> hitResponse("v"));
@@ -212,7 +212,7 @@
         environment.pushingLists().start();
         environment.publish(2, BalancerEnvironment.endpoint("s-a", drainingRouter.port, "two-core", "terminating", 0));
         try (BalancerEnvironment.Client client = environment.client()) {
-            // The list and the requests come by different connections: the first ones may be before the list.
+            // The list and the requests use different connections, so the first requests may arrive before the list.
             String last = "old";
             for (int i = 0; i < 10_000 && (last.equals("old") || i < 200); i++) {
                 last = client.request(mapRead(Integer.toHexString(i % 100), "id" + i));
--- a/balancer/src/test/java/baymoor/RulesIT.java
+++ b/balancer/src/test/java/baymoor/RulesIT.java
@@ -9,7 +9,7 @@
 import org.junit.After;
 import org.junit.Test;
 
-/** The four rules, each on real sockets with the built program. */
+/** The four rules of the service, each checked with the built balancer on real sockets. */
 public class RulesIT {
 
     private static final String VALUE = "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n";
@@ -36,9 +36,7 @@
             assertTrue(answer, answer.startsWith("-"));
             assertTrue("after " + elapsedMillis + " ms", elapsedMillis <= 1400 + 70);
             assertEquals(
-                    "nothing but the next answer follows",
-                    "PONG",
-                    client.request("PING").substring(1));
+                    "unexpected further answer", "PONG", client.request("PING").substring(1));
         }
     }
 
