--- a/balancer/src/main/java/baymoor/net/DecisionThread.java
+++ b/balancer/src/main/java/baymoor/net/DecisionThread.java
@@ -119,7 +119,7 @@
     public void run() {
         while (!stopped) {
             nowMicros = read();
-            pauseDetector.wokeUp(expectedWakeMicros, nowMicros);
+            pauseDetector.recordWakeUp(expectedWakeMicros, nowMicros);
             expectedWakeMicros = nowMicros;
             earliestArrivalMicros = nowMicros;
             ScheduledTask nextTimer = timers.peek();
--- a/balancer/src/main/java/baymoor/net/PauseDetector.java
+++ b/balancer/src/main/java/baymoor/net/PauseDetector.java
@@ -22,7 +22,7 @@
      * @param expectedMicros the latest time at which it was to wake up
      * @param actualMicros   the time now
      */
-    void wokeUp(long expectedMicros, long actualMicros) {
+    void recordWakeUp(long expectedMicros, long actualMicros) {
         if (actualMicros - expectedMicros > MIN_PAUSE_MICROS) {
             pauseStartMicros = expectedMicros;
             catchUpEndMicros = actualMicros + CATCH_UP_MICROS;
--- a/balancer/src/main/java/baymoor/serve/Log.java
+++ b/balancer/src/main/java/baymoor/serve/Log.java
@@ -60,9 +60,9 @@
     /**
      * Logs an event.
      *
-     * @param values names and values, in the order in which they are written
+     * @param fields names and values, in the order in which they are written
      */
-    void event(String level, String event, Map<String, String> values) {
+    void event(String level, String event, Map<String, String> fields) {
         String timestamp = formatTime(clock.millis());
         StringBuilder line = new StringBuilder();
         if (json) {
@@ -74,7 +74,7 @@
                     .append(JSONObject.quote(instance))
                     .append(",\"event\":")
                     .append(JSONObject.quote(event));
-            values.forEach((name, value) ->
+            fields.forEach((name, value) ->
                     line.append(',').append(JSONObject.quote(name)).append(':').append(JSONObject.quote(value)));
             line.append('}');
         } else {
@@ -85,7 +85,7 @@
                     .append(instance)
                     .append(' ')
                     .append(event);
-            values.forEach((name, value) -> line.append(' ')
+            fields.forEach((name, value) -> line.append(' ')
                     .append(name)
                     .append('=')
                     .append(value.indexOf(' ') < 0 ? value : JSONObject.quote(value)));
--- a/balancer/src/main/java/baymoor/serve/WarmUp.java
+++ b/balancer/src/main/java/baymoor/serve/WarmUp.java
@@ -140,8 +140,8 @@
         new Thread(socketWarmUp.thread, "rehearsal").start();
         MinaNet net = new MinaNet(socketWarmUp.thread);
         InetSocketAddress anyPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-        CountDownLatch exchanges = new CountDownLatch(2);
-        InetSocketAddress peerAddress = net.listenToPeers(anyPort, (from, content) -> exchanges.countDown());
+        CountDownLatch pendingExchanges = new CountDownLatch(2);
+        InetSocketAddress peerAddress = net.listenToPeers(anyPort, (from, content) -> pendingExchanges.countDown());
         net.send(peerAddress, new byte[1]);
         InetSocketAddress address = net.listen(anyPort, socketWarmUp.north::client);
         Link[] link = new Link[1];
@@ -153,7 +153,7 @@
 
             @Override
             public void received(byte[] bytes) {
-                exchanges.countDown();
+                pendingExchanges.countDown();
                 link[0].close();
             }
 
@@ -163,7 +163,7 @@
             @Override
             public void closed() {}
         });
-        await(exchanges);
+        await(pendingExchanges);
         net.stopListening();
     }
 
--- a/balancer/src/test/java/baymoor/BalancerEnvironment.java
+++ b/balancer/src/test/java/baymoor/BalancerEnvironment.java
@@ -179,9 +179,9 @@
         return server;
     }
 
-    static String endpoint(String name, int port, String type, String status, long since) {
+    static String endpoint(String name, int port, String type, String status, long sinceMillis) {
         return "{\"name\":\"" + name + "\",\"address\":\"127.0.0.1:" + port + "\",\"zone\":\"a\",\"type\":\"" + type
-                + "\",\"group\":0,\"status\":\"" + status + "\",\"weight\":1.0,\"since_ms\":" + since + "}";
+                + "\",\"group\":0,\"status\":\"" + status + "\",\"weight\":1.0,\"since_ms\":" + sinceMillis + "}";
     }
 
     /** Sends a changed endpoint on every watch, after waiting for the first watch. */
