--- a/balancer/src/main/java/baymoor/net/DecisionThread.java
+++ b/balancer/src/main/java/baymoor/net/DecisionThread.java
@@ -125,7 +125,7 @@
             ScheduledTask nextTimer = timers.peek();
             PostedTask nextPosted = peekPosted();
             // In order of time: after a stall, a response posted before a timer was due must run before that timer,
-            // which may be the time-out of its attempt.
+            // which may be the timeout of its attempt.
             if (nextTimer != null
                     && nextTimer.dueMicros <= nowMicros
                     && (nextPosted == null || nextTimer.dueMicros < nextPosted.postedMicros)) {
@@ -165,7 +165,7 @@
                 return;
             }
             try {
-                // A time-out of 0 waits without limit, so a timer needs at least 1 ms.
+                // A timeout of 0 waits without limit, so a timer needs at least 1 ms.
                 long millis = nextTimer == null
                         ? 0
                         : (nextTimer.dueMicros - nowMicros + MICROS_PER_MILLI - 1) / MICROS_PER_MILLI;
@@ -180,9 +180,8 @@
         try {
             task.run();
         } catch (RuntimeException | Error e) {
-            // A failed task, even one that ran out of memory, must not end the thread: the process would keep all of
-            // its
-            // connections and answer none of them. Requests that the task left pending are answered at their deadlines.
+            // A failed task, even one that ran out of memory, must not end the thread: the process would keep its
+            // connections and answer none of them. Requests that it left pending are answered at their deadlines.
             counters.add(Count.TASK_FAILURES);
             log.accept("task failed: " + e + (e.getStackTrace().length > 0 ? " at " + e.getStackTrace()[0] : ""));
         }
--- a/balancer/src/test/java/baymoor/AttemptDeadlineIT.java
+++ b/balancer/src/test/java/baymoor/AttemptDeadlineIT.java
@@ -28,12 +28,12 @@
     private static final String ORIGIN_VALUE = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv";
     private static final String FAILED = "HTTP/1.1 500 Failed\r\nContent-Length: 0\r\n\r\n";
     private static final String RESET = "close";
-    /** The stub server does not answer, and the balancer's time-out ends the attempt. */
+    /** The stub server does not answer, and the balancer's timeout ends the attempt. */
     private static final String NO_RESPONSE = null;
 
     private static final String HANGING_ID_PREFIX = "hangs";
     private static final long DEADLINE_MILLIS = 6_000;
-    /** As long as the connect time-out in the tests of delayed connections. */
+    /** As long as the connect timeout in the tests of delayed connections. */
     private static final long LONG_DEADLINE_MILLIS = 15_000;
     /** How long a stub server delays its answer: by this much the client's original deadline exceeds the remaining time. */
     private static final long ANSWER_DELAY_MILLIS = 200;
@@ -56,7 +56,7 @@
      * One attempt as a stub server received it.
      *
      * @param receivedNanos when it arrived
-     * @param answeredNanos when the stub server answered, or 0 where the balancer's time-out ends the attempt
+     * @param answeredNanos when the stub server answered, or 0 where the balancer's timeout ends the attempt
      */
     private record Attempt(boolean origin, long deadlineMillis, long receivedNanos, long answeredNanos) {
 
--- a/balancer/src/test/java/baymoor/BalancerEnvironment.java
+++ b/balancer/src/test/java/baymoor/BalancerEnvironment.java
@@ -96,8 +96,7 @@
             boolean http = type.equals("origin");
             ServerSocket server = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
             resources.add(server);
-            // Two connections fill the backlog of one: the kernel drops further SYNs, and clients resend them after a
-            // second.
+            // Two connections fill the backlog of one: the kernel drops further SYNs, which are resent after a second.
             for (int i = 0; i < 2; i++) {
                 resources.add(new Socket(server.getInetAddress(), server.getLocalPort()));
             }
--- a/balancer/src/test/java/baymoor/net/DecisionThreadTest.java
+++ b/balancer/src/test/java/baymoor/net/DecisionThreadTest.java
@@ -49,9 +49,9 @@
         CountDownLatch finished = new CountDownLatch(1);
         thread.post(() -> {
             thread.post(() -> executed.add("answer"));
-            // Time that has passed since the task began, which a busy machine may have made long.
+            // The time since the task began, which may be long on a busy machine.
             long pauseMicros = thread.read() - thread.now();
-            thread.after(pauseMicros + 20_000, () -> executed.add("time-out"));
+            thread.after(pauseMicros + 20_000, () -> executed.add("timer"));
             thread.after(pauseMicros + 20_000, finished::countDown);
             thread.after(0, () -> executed.add("follow-up"));
             while (thread.read() < thread.now() + pauseMicros + 30_000) {
@@ -61,7 +61,7 @@
         Thread runner = new Thread(thread);
         runner.start();
         assertTrue(finished.await(10, TimeUnit.SECONDS));
-        assertEquals(List.of("follow-up", "answer", "time-out"), executed);
+        assertEquals(List.of("follow-up", "answer", "timer"), executed);
         thread.stop();
         runner.join(10_000);
     }
