--- a/balancer/src/main/java/baymoor/counters/Counters.java
+++ b/balancer/src/main/java/baymoor/counters/Counters.java
@@ -3,31 +3,31 @@
 import java.util.Locale;
 import java.util.concurrent.atomic.AtomicLongArray;
 
-/** What came in, was sent and answered since the start. Any thread may count. */
+/** Counts events of one balancer since its start. Thread-safe. */
 public final class Counters {
 
     private final AtomicLongArray values = new AtomicLongArray(Count.values().length);
 
-    /** Adds one to a counter. */
-    public void add(Count what) {
-        values.incrementAndGet(what.ordinal());
+    /** Increments a counter by one. */
+    public void add(Count counter) {
+        values.incrementAndGet(counter.ordinal());
     }
 
-    /** The present value of a counter. */
-    public long get(Count what) {
-        return values.get(what.ordinal());
+    /** Returns the value of a counter. */
+    public long get(Count counter) {
+        return values.get(counter.ordinal());
     }
 
-    /** One line a counter, {@code name:value}, zeros included so that a missing name is never a question. */
+    /** Returns one line {@code name:value} for each counter, including those that are zero. */
     public String report() {
-        StringBuilder text = new StringBuilder();
-        for (Count c : Count.values()) {
-            text.append(c.name().toLowerCase(Locale.ROOT))
+        StringBuilder lines = new StringBuilder();
+        for (Count counter : Count.values()) {
+            lines.append(counter.name().toLowerCase(Locale.ROOT))
                     .append(':')
-                    .append(get(c))
+                    .append(get(counter))
                     .append('\n');
         }
-        return text.append("invariants_broken:")
+        return lines.append("invariants_broken:")
                 .append(Invariant.broken())
                 .append('\n')
                 .toString();
--- a/balancer/src/main/java/baymoor/counters/Invariant.java
+++ b/balancer/src/main/java/baymoor/counters/Invariant.java
@@ -2,24 +2,30 @@
 
 import java.util.concurrent.atomic.AtomicLong;
 
-/** What must hold: asserted where assertions are on, counted where they are off. */
+/** Checks of internal invariants: a violation is counted, and fails an assertion where assertions are enabled. Thread-safe. */
 public final class Invariant {
 
-    private static final AtomicLong BROKEN = new AtomicLong();
+    private static final AtomicLong VIOLATIONS = new AtomicLong();
 
     private Invariant() {}
 
-    /** Gives {@code holds} back, so that the caller can go on safely in a release. */
-    public static boolean check(boolean holds, String what) {
+    /**
+     * Checks an invariant.
+     *
+     * @param holds   the condition
+     * @param message describes the violation
+     * @return {@code holds}, so that the caller can handle a violation where assertions are disabled
+     */
+    public static boolean check(boolean holds, String message) {
         if (!holds) {
-            BROKEN.incrementAndGet();
-            assert false : what;
+            VIOLATIONS.incrementAndGet();
+            assert false : message;
         }
         return holds;
     }
 
-    /** How many checks have failed since the start. */
+    /** Returns the number of violations since the start of the process. */
     public static long broken() {
-        return BROKEN.get();
+        return VIOLATIONS.get();
     }
 }
--- a/balancer/src/main/java/baymoor/net/DecisionThread.java
+++ b/balancer/src/main/java/baymoor/net/DecisionThread.java
@@ -7,103 +7,109 @@
 import java.util.PriorityQueue;
 import java.util.function.Consumer;
 
-/** The one thread that owns all state: runs what the drivers hand in, and what falls due, one after another. */
+/**
+ * A single-threaded event loop that owns all state of a balancer: it runs posted tasks and due timers one after another.
+ *
+ * <p>{@link #post}, {@link #read} and {@link #stop} may be called from any thread; the methods of {@link Time} only from
+ * tasks that this thread runs.
+ */
 public final class DecisionThread implements Time, Runnable {
 
-    /** The clock's first reading: high enough that starts of hosts long before this program's are above 0. */
-    private static final long ORIGIN_MICROS = 1_000_000_000_000L;
+    /** The clock's first reading, high enough that hosts which started long before this process have positive times. */
+    private static final long CLOCK_START_MICROS = 1_000_000_000_000L;
 
-    /** Due before all else: what belongs to the present event is done before the next one is heard. */
-    private static final long AT_ONCE = 0;
+    /** Due before any posted task, so that follow-up work of the current event runs before the next event. */
+    private static final long DUE_IMMEDIATELY = 0;
 
-    private static final long MICROS_A_MILLI = 1_000;
+    private static final long MICROS_PER_MILLI = 1_000;
 
     /**
-     * What has come in and was not looked at yet, under its own monitor. Seen: where one thread of the process runs at a
-     * time, a queue of java.util.concurrent held the balancer up for good. Between two steps of a signal its waiter
-     * spins, trusting that the other thread goes on meanwhile; a monitor's waiter sleeps.
+     * Tasks posted by other threads, guarded by the deque's monitor. Not a queue of java.util.concurrent: its waiters
+     * spin until the signalling thread makes progress, which never ends where only one thread runs at a time.
      */
-    private final ArrayDeque<Posted> posted = new ArrayDeque<>();
-    /** What was taken over from there. */
-    private final ArrayDeque<Posted> queue = new ArrayDeque<>();
+    private final ArrayDeque<PostedTask> posted = new ArrayDeque<>();
+    /** Posted tasks that this thread has taken over and not run yet. */
+    private final ArrayDeque<PostedTask> localQueue = new ArrayDeque<>();
 
-    private final PriorityQueue<Due> timers = new PriorityQueue<>();
+    private final PriorityQueue<ScheduledTask> timers = new PriorityQueue<>();
     private final long startNanos = System.nanoTime();
     private final Counters counters;
     private final Consumer<String> log;
-    private final HoldUps holdUps = new HoldUps();
-    private long now = ORIGIN_MICROS;
-    private long came = ORIGIN_MICROS;
-    /** When this thread means to look at the clock next. */
-    private long meant = Long.MAX_VALUE;
+    private final PauseDetector pauseDetector = new PauseDetector();
+    private long nowMicros = CLOCK_START_MICROS;
+    private long earliestArrivalMicros = CLOCK_START_MICROS;
+    /** When this thread expects to read the clock next, at the latest. */
+    private long expectedWakeMicros = Long.MAX_VALUE;
 
-    private long sequence;
+    private long nextSequence;
     private volatile boolean stopped;
 
+    /** Creates the loop; a {@link Thread} has to {@linkplain #run run} it. Failed tasks are counted and logged. */
     public DecisionThread(Counters counters, Consumer<String> log) {
         this.counters = counters;
         this.log = log;
     }
 
-    /** What the drivers handed in, and when. */
-    private record Posted(long atMicros, Runnable task) {}
+    /** A task from another thread and the time at which it was posted. */
+    private record PostedTask(long postedMicros, Runnable task) {}
 
-    private static final class Due implements Timer, Comparable<Due> {
-        final long atMicros;
-        final long number;
+    private static final class ScheduledTask implements Timer, Comparable<ScheduledTask> {
+        final long dueMicros;
+        final long sequence;
         Runnable task;
 
-        Due(long atMicros, long number, Runnable task) {
-            this.atMicros = atMicros;
-            this.number = number;
+        ScheduledTask(long dueMicros, long sequence, Runnable task) {
+            this.dueMicros = dueMicros;
+            this.sequence = sequence;
             this.task = task;
         }
 
-        /** The place in the queue stays until it is due, but what the task holds is let go. */
+        /** Releases the task; the entry stays in the queue until it is due. */
         @Override
         public void cancel() {
             task = null;
         }
 
         @Override
-        public int compareTo(Due other) {
-            int byTime = Long.compare(atMicros, other.atMicros);
-            return byTime != 0 ? byTime : Long.compare(number, other.number);
+        public int compareTo(ScheduledTask other) {
+            int byDueTime = Long.compare(dueMicros, other.dueMicros);
+            return byDueTime != 0 ? byDueTime : Long.compare(sequence, other.sequence);
         }
     }
 
-    /** Hands a task to the decision thread, from any thread. */
+    /** Queues a task for the decision thread. May be called from any thread. */
     public void post(Runnable task) {
-        Posted one = new Posted(read(), task);
+        PostedTask postedTask = new PostedTask(read(), task);
         synchronized (posted) {
-            posted.add(one);
+            posted.add(postedTask);
             posted.notify();
         }
     }
 
     @Override
     public long now() {
-        return now;
+        return nowMicros;
     }
 
     @Override
     public long came() {
-        return came;
+        return earliestArrivalMicros;
     }
 
     @Override
     public Timer after(long micros, Runnable task) {
-        Due due = new Due(micros <= 0 ? AT_ONCE : now + micros, sequence++, task);
-        timers.add(due);
-        return due;
+        ScheduledTask timer =
+                new ScheduledTask(micros <= 0 ? DUE_IMMEDIATELY : nowMicros + micros, nextSequence++, task);
+        timers.add(timer);
+        return timer;
     }
 
-    /** What the clock shows now, for the mapping of other clocks onto it. */
+    /** Reads the clock, in microseconds. May be called from any thread. */
     public long read() {
-        return ORIGIN_MICROS + (System.nanoTime() - startNanos) / 1000;
+        return CLOCK_START_MICROS + (System.nanoTime() - startNanos) / 1000;
     }
 
-    /** Lets {@link #run} return after the present task. */
+    /** Makes {@link #run} return after the current task. May be called from any thread. */
     public void stop() {
         stopped = true;
         post(() -> {});
@@ -112,66 +118,70 @@
     @Override
     public void run() {
         while (!stopped) {
-            now = read();
-            holdUps.looked(meant, now);
-            meant = now;
-            came = now;
-            Due due = timers.peek();
-            Posted next = next();
-            // Seen: while this thread was held up, answers that had come in waited here, and the time-outs of their
-            // attempts went first. What happened first is told first.
-            if (due != null && due.atMicros <= now && (next == null || due.atMicros < next.atMicros)) {
+            nowMicros = read();
+            pauseDetector.recordWakeUp(expectedWakeMicros, nowMicros);
+            expectedWakeMicros = nowMicros;
+            earliestArrivalMicros = nowMicros;
+            ScheduledTask nextTimer = timers.peek();
+            PostedTask nextPosted = peekPosted();
+            // In order of time: after a stall, a response posted before a timer was due must run before that timer,
+            // which may be the timeout of its attempt.
+            if (nextTimer != null
+                    && nextTimer.dueMicros <= nowMicros
+                    && (nextPosted == null || nextTimer.dueMicros < nextPosted.postedMicros)) {
                 timers.poll();
-                Runnable task = due.task;
+                Runnable task = nextTimer.task;
                 if (task != null) {
-                    perform(task);
+                    runTask(task);
                 }
                 continue;
             }
-            if (next != null) {
-                queue.poll();
-                came = holdUps.came(next.atMicros);
-                perform(next.task);
+            if (nextPosted != null) {
+                localQueue.poll();
+                earliestArrivalMicros = pauseDetector.earliestArrival(nextPosted.postedMicros);
+                runTask(nextPosted.task);
             } else {
-                meant = due == null ? Long.MAX_VALUE : due.atMicros;
-                sleep(due);
+                expectedWakeMicros = nextTimer == null ? Long.MAX_VALUE : nextTimer.dueMicros;
+                awaitWork(nextTimer);
             }
         }
     }
 
-    /** The next task that was handed in, or null. */
-    private Posted next() {
-        if (queue.isEmpty()) {
+    /** Returns the oldest posted task without removing it, or null if there is none. */
+    private PostedTask peekPosted() {
+        if (localQueue.isEmpty()) {
             synchronized (posted) {
-                queue.addAll(posted);
+                localQueue.addAll(posted);
                 posted.clear();
             }
         }
-        return queue.peek();
+        return localQueue.peek();
     }
 
-    /** Sleeps until something is handed in, or a timer is due (to the millisecond above, as monitors have it). */
-    private void sleep(Due due) {
+    /** Sleeps until a task is posted or the timer is due, rounded up to a millisecond, the resolution of monitors. */
+    private void awaitWork(ScheduledTask nextTimer) {
         synchronized (posted) {
             if (!posted.isEmpty()) {
                 return;
             }
             try {
-                // 0 would be for ever; what is due within a millisecond is waited for that long.
-                long millis = due == null ? 0 : (due.atMicros - now + MICROS_A_MILLI - 1) / MICROS_A_MILLI;
-                posted.wait(Math.max(due == null ? 0 : 1, millis));
+                // A timeout of 0 waits without limit, so a timer needs at least 1 ms.
+                long millis = nextTimer == null
+                        ? 0
+                        : (nextTimer.dueMicros - nowMicros + MICROS_PER_MILLI - 1) / MICROS_PER_MILLI;
+                posted.wait(Math.max(nextTimer == null ? 0 : 1, millis));
             } catch (InterruptedException e) {
                 stopped = true;
             }
         }
     }
 
-    private void perform(Runnable task) {
+    private void runTask(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException | Error e) {
-            // One event that can't be dealt with must not end the balancer, be it for want of memory: without this
-            // thread it would hold all connections and answer nothing. The deadline answers what was owed.
+            // A failed task, even one that ran out of memory, must not end the thread: the process would keep its
+            // connections and answer none of them. Requests that it left pending are answered at their deadlines.
             counters.add(Count.TASK_FAILURES);
             log.accept("task failed: " + e + (e.getStackTrace().length > 0 ? " at " + e.getStackTrace()[0] : ""));
         }
--- a/balancer/src/main/java/baymoor/net/MinaLink.java
+++ b/balancer/src/main/java/baymoor/net/MinaLink.java
@@ -11,123 +11,128 @@
 import org.apache.mina.core.session.IoSession;
 import org.apache.mina.core.write.DefaultWriteRequest;
 
-/** One TCP connection. Its state machine is called on the decision thread only. */
+/**
+ * One TCP connection on a MINA session. Its {@link LinkEvents} are called on the decision thread only, which also calls the
+ * methods of {@link Link}; methods named {@code on...} may be called on MINA's threads.
+ */
 final class MinaLink implements Link {
 
-    /** Seen: clients that send at full speed. What they send must wait in their sockets, not in the queue. */
-    private static final int MOST_UNTOLD = 128 * 1024;
-    /** Who sends on so much after this side's end has gone out is cut off. */
-    private static final int MOST_DROPPED = 64 * 1024;
+    /** Reading is suspended above this, so that a fast sender is held back by TCP flow control. */
+    private static final int MAX_UNDELIVERED_BYTES = 128 * 1024;
+    /** A peer that sends more than this after the output was shut down is disconnected. */
+    private static final int MAX_DISCARDED_BYTES = 64 * 1024;
 
-    private static final int IN_ANY_CASE = -1;
+    private static final int ANY_READ_COUNT = -1;
 
     private final DecisionThread thread;
     private LinkEvents events;
     private volatile IoSession session;
-    private volatile boolean abandoned;
-    private ConnectFuture connecting;
-    private boolean over;
-    /** The driver knows that it is over. */
-    private volatile boolean ended;
-    /** Reads that the driver's one thread has made, and those of them that were told. */
-    private int reads;
-
-    private int readsTold;
-    /** Driver's thread: this side's output has ended, and what came in since. */
-    private boolean finished;
-
-    private int dropped;
-    private final AtomicInteger untold = new AtomicInteger();
-    /** Whether the state machine wants bytes, and whether the decision thread keeps up with them. */
-    private boolean wanted = true;
-
-    private boolean behind;
+    private volatile boolean closeRequested;
+    private ConnectFuture connectFuture;
+    private boolean closedDelivered;
+    /** The connection is closed, though {@link LinkEvents#closed} may not have been delivered yet. */
+    private volatile boolean disconnected;
+    /** Reads that the I/O thread has made. */
+    private int readCount;
+
+    /** Reads that the decision thread has delivered. */
+    private int deliveredReads;
+    /** Used on the I/O thread only, as is {@link #discardedBytes}. */
+    private boolean outputShutDown;
+
+    private int discardedBytes;
+    private final AtomicInteger undeliveredBytes = new AtomicInteger();
+    /** Whether the state machine wants bytes. */
+    private boolean readingRequested = true;
+
+    /** Whether more bytes wait for delivery than {@link #MAX_UNDELIVERED_BYTES}. */
+    private boolean backlogged;
 
     MinaLink(DecisionThread thread) {
         this.thread = thread;
     }
 
-    /** Decision thread, before anything is told. */
-    void events(LinkEvents listener) {
+    /** Sets the receiver of events, before the first event is posted. */
+    void setEvents(LinkEvents listener) {
         events = listener;
     }
 
-    void accepted(IoSession accepted, Function<Link, LinkEvents> clients) {
-        session = accepted;
-        thread.post(() -> events = clients.apply(this));
+    void onAccepted(IoSession acceptedSession, Function<Link, LinkEvents> acceptHandler) {
+        session = acceptedSession;
+        thread.post(() -> events = acceptHandler.apply(this));
     }
 
-    void connecting(ConnectFuture future) {
-        connecting = future;
+    void onConnecting(ConnectFuture future) {
+        connectFuture = future;
         future.addListener(f -> {
             if (!((ConnectFuture) f).isConnected()) {
-                tellClosed();
+                onClosed();
             }
         });
     }
 
-    /** Driver's thread: the connection is up, unless it is not wanted any more. */
-    void up(IoSession opened) {
-        session = opened;
-        if (abandoned) {
-            opened.closeNow();
+    /** Reports the connection as open, or closes it if {@link #close} was called meanwhile. */
+    void onOpened(IoSession openedSession) {
+        session = openedSession;
+        if (closeRequested) {
+            openedSession.closeNow();
         } else {
-            tell(() -> events.opened());
+            postEvent(() -> events.opened());
         }
     }
 
-    void tellReceived(byte[] bytes) {
-        if (finished) {
-            dropped += bytes.length;
-            if (dropped > MOST_DROPPED) {
+    void onReceived(byte[] bytes) {
+        if (outputShutDown) {
+            discardedBytes += bytes.length;
+            if (discardedBytes > MAX_DISCARDED_BYTES) {
                 session.closeNow();
             }
             return;
         }
-        reads++;
-        if (untold.addAndGet(bytes.length) > MOST_UNTOLD) {
-            read(true, null);
+        readCount++;
+        if (undeliveredBytes.addAndGet(bytes.length) > MAX_UNDELIVERED_BYTES) {
+            updateReading(true, null);
         }
         thread.post(() -> {
-            readsTold++;
-            boolean caughtUp = untold.addAndGet(-bytes.length) <= MOST_UNTOLD / 2;
-            if (!over) {
+            deliveredReads++;
+            boolean caughtUp = undeliveredBytes.addAndGet(-bytes.length) <= MAX_UNDELIVERED_BYTES / 2;
+            if (!closedDelivered) {
                 events.received(bytes);
             }
             if (caughtUp) {
-                read(false, null);
+                updateReading(false, null);
             }
         });
     }
 
-    /** Each of the two that may stop the reading from the socket says so for itself. */
-    private synchronized void read(Boolean nowBehind, Boolean nowWanted) {
-        boolean before = wanted && !behind;
-        behind = nowBehind == null ? behind : nowBehind;
-        wanted = nowWanted == null ? wanted : nowWanted;
-        boolean after = wanted && !behind;
-        if (after && !before) {
+    /** Suspends or resumes reading from the socket when either of the two reasons to do so changes; null leaves one as it is. */
+    private synchronized void updateReading(Boolean newBacklogged, Boolean newReadingRequested) {
+        boolean wasReading = readingRequested && !backlogged;
+        backlogged = newBacklogged == null ? backlogged : newBacklogged;
+        readingRequested = newReadingRequested == null ? readingRequested : newReadingRequested;
+        boolean isReading = readingRequested && !backlogged;
+        if (isReading && !wasReading) {
             session.resumeRead();
-        } else if (before && !after) {
+        } else if (wasReading && !isReading) {
             session.suspendRead();
         }
     }
 
-    void tellWritten() {
-        tell(() -> events.written());
+    void onWritten() {
+        postEvent(() -> events.written());
     }
 
-    void tellClosed() {
-        ended = true;
-        tell(() -> {
-            over = true;
+    void onClosed() {
+        disconnected = true;
+        postEvent(() -> {
+            closedDelivered = true;
             events.closed();
         });
     }
 
-    private void tell(Runnable event) {
+    private void postEvent(Runnable event) {
         thread.post(() -> {
-            if (!over) {
+            if (!closedDelivered) {
                 event.run();
             }
         });
@@ -135,58 +140,62 @@
 
     @Override
     public void write(byte[] bytes) {
-        IoSession s = session;
-        if (s != null && bytes.length > 0) {
-            s.write(IoBuffer.wrap(bytes));
+        IoSession currentSession = session;
+        if (currentSession != null && bytes.length > 0) {
+            currentSession.write(IoBuffer.wrap(bytes));
         }
     }
 
     @Override
     public void close() {
-        abandoned = true;
-        IoSession s = session;
-        if (s != null) {
-            s.closeNow();
+        closeRequested = true;
+        IoSession currentSession = session;
+        if (currentSession != null) {
+            currentSession.closeNow();
         } else {
-            // Still connecting: nothing has been written, so its end can be told without waiting for MINA.
-            connecting.cancel();
-            tellClosed();
+            // Still connecting: nothing was written, so the close can be reported without waiting for MINA.
+            connectFuture.cancel();
+            onClosed();
         }
     }
 
     /**
-     * The mark passes through the queue of writes and comes out on the driver's thread, which makes all reads: so nothing
-     * can be read between the look at what was read and the end of the output. Seen to be possible without it: a request
-     * that was read in the very moment in which its connection was closed as idle, and was lost.
+     * {@inheritDoc}
+     *
+     * <p>An empty write serves as a marker: it leaves the queue of writes on the I/O thread, which makes all reads, so no read
+     * can come between the check of the read count and the shutdown of the output. Otherwise a request that is read while its
+     * connection is closed as idle would be lost.
      */
     @Override
-    public void finish(boolean inAnyCase) {
-        IoSession s = session;
-        int expected = inAnyCase ? IN_ANY_CASE : readsTold;
-        WriteFuture passed = new DefaultWriteFuture(s);
-        passed.addListener(f -> {
-            if (((WriteFuture) f).isWritten() && !finished && (expected == IN_ANY_CASE || expected == reads)) {
-                finished = true;
-                HalfClose.endOutput(s);
-                read(false, true); // the other side's end is to be seen
-                tell(() -> events.finished());
+    public void finish(boolean evenIfUnread) {
+        IoSession currentSession = session;
+        int expectedReads = evenIfUnread ? ANY_READ_COUNT : deliveredReads;
+        WriteFuture markerWritten = new DefaultWriteFuture(currentSession);
+        markerWritten.addListener(f -> {
+            if (((WriteFuture) f).isWritten()
+                    && !outputShutDown
+                    && (expectedReads == ANY_READ_COUNT || expectedReads == readCount)) {
+                outputShutDown = true;
+                HalfClose.shutdownOutput(currentSession);
+                updateReading(false, true); // so that the peer's FIN is noticed
+                postEvent(() -> events.finished());
             }
         });
-        s.getFilterChain().fireFilterWrite(new DefaultWriteRequest(HalfClose.mark(), passed));
+        currentSession.getFilterChain().fireFilterWrite(new DefaultWriteRequest(HalfClose.marker(), markerWritten));
     }
 
     @Override
     public boolean unread() {
-        return untold.get() > 0;
+        return undeliveredBytes.get() > 0;
     }
 
     @Override
     public boolean over() {
-        return ended;
+        return disconnected;
     }
 
     @Override
     public void reading(boolean on) {
-        read(null, on);
+        updateReading(null, on);
     }
 }
--- a/balancer/src/main/java/baymoor/serve/Log.java
+++ b/balancer/src/main/java/baymoor/serve/Log.java
@@ -9,9 +9,9 @@
 import org.json.JSONObject;
 
 /**
- * The serving program's log on standard error: the fields of the tools' logs (time, level, instance, event, then names
- * with values), without their library, which would cost a third of a second at each start. {@code ROUTER_LOG=json}
- * makes each line a JSON object.
+ * Writes the balancer's log to a stream, normally standard error, with the same fields as the logs of the command-line tools:
+ * time, level, instance, event, then names with values. Uses no logging library, whose loading would delay the start.
+ * {@code ROUTER_LOG=json} makes each line a JSON object. Lines may be written from any thread.
  */
 final class Log implements Consumer<String> {
 
@@ -27,59 +27,65 @@
         this.json = json;
     }
 
-    static Log ofEnvironment(Map<String, String> environment, String instance) {
+    /** Returns a log on standard error in the format that the environment asks for. */
+    static Log fromEnvironment(Map<String, String> environment, String instance) {
         return new Log(System.err, Clock.systemUTC(), instance, "json".equals(environment.get("ROUTER_LOG")));
     }
 
-    /** A line of a state machine's: what stands before its first colon names the event. */
+    /** Logs a line of the form {@code event: detail}; one without an event is logged as {@code note}. */
     @Override
     public void accept(String line) {
         int colon = line.indexOf(": ");
-        boolean named = colon > 0 && line.substring(0, colon).chars().allMatch(c -> c >= 'a' && c <= 'z' || c == ' ');
-        String event = named ? line.substring(0, colon).replace(' ', '-') : "note";
+        boolean hasEventName =
+                colon > 0 && line.substring(0, colon).chars().allMatch(c -> c >= 'a' && c <= 'z' || c == ' ');
+        String event = hasEventName ? line.substring(0, colon).replace(' ', '-') : "note";
         event(
                 event.endsWith("failed") ? "WARN" : "INFO",
                 event,
-                Map.of("detail", named ? line.substring(colon + 2) : line));
+                Map.of("detail", hasEventName ? line.substring(colon + 2) : line));
     }
 
     /**
-     * As ISO 8601 has it. Measured: the JDK's formatters take 12 ms of a whole core when first used, which is the first line
-     * of the first busy second, on the decision thread; a date's own text needs none of them and takes 1 ms.
+     * Formats a time as ISO 8601 with milliseconds. Not with a {@code DateTimeFormatter}, whose initialization would stall the
+     * decision thread at the first logged line.
      */
-    private static String time(long millis) {
+    private static String formatTime(long epochMillis) {
         String text = LocalDateTime.ofEpochSecond(
-                        Math.floorDiv(millis, 1000L), Math.floorMod(millis, 1000) * 1_000_000, ZoneOffset.UTC)
+                        Math.floorDiv(epochMillis, 1000L), Math.floorMod(epochMillis, 1000) * 1_000_000, ZoneOffset.UTC)
                 .toString();
-        String whole = text.length() == "2026-01-02T03:04".length() ? text + ":00" : text;
-        return whole.indexOf('.') < 0 ? whole + ".000Z" : whole + "Z";
+        String withSeconds = text.length() == "2026-01-02T03:04".length() ? text + ":00" : text;
+        return withSeconds.indexOf('.') < 0 ? withSeconds + ".000Z" : withSeconds + "Z";
     }
 
-    /** @param values in the order in which they are to stand */
-    void event(String level, String event, Map<String, String> values) {
-        String time = time(clock.millis());
+    /**
+     * Logs an event.
+     *
+     * @param fields names and values, in the order in which they are written
+     */
+    void event(String level, String event, Map<String, String> fields) {
+        String timestamp = formatTime(clock.millis());
         StringBuilder line = new StringBuilder();
         if (json) {
             line.append("{\"time\":")
-                    .append(JSONObject.quote(time))
+                    .append(JSONObject.quote(timestamp))
                     .append(",\"level\":\"")
                     .append(level)
                     .append("\",\"instance\":")
                     .append(JSONObject.quote(instance))
                     .append(",\"event\":")
                     .append(JSONObject.quote(event));
-            values.forEach((name, value) ->
+            fields.forEach((name, value) ->
                     line.append(',').append(JSONObject.quote(name)).append(':').append(JSONObject.quote(value)));
             line.append('}');
         } else {
-            line.append(time)
+            line.append(timestamp)
                     .append(' ')
                     .append(level)
                     .append(' ')
                     .append(instance)
                     .append(' ')
                     .append(event);
-            values.forEach((name, value) -> line.append(' ')
+            fields.forEach((name, value) -> line.append(' ')
                     .append(name)
                     .append('=')
                     .append(value.indexOf(' ') < 0 ? value : JSONObject.quote(value)));
--- a/balancer/src/test/java/baymoor/LayoutTest.java
+++ b/balancer/src/test/java/baymoor/LayoutTest.java
@@ -9,15 +9,15 @@
 import com.tngtech.archunit.lang.syntax.ArchRuleDefinition;
 import org.junit.Test;
 
-/** Who may import whom, as the README draws it. */
+/** The allowed dependencies between packages, as documented in the README. */
 public class LayoutTest {
 
     @Test
-    public void packagesImportInOneDirection() {
-        JavaClasses program = new ClassFileImporter()
+    public void packageDependenciesAreLayeredAndAcyclic() {
+        JavaClasses classes = new ClassFileImporter()
                 .withImportOption(new ImportOption.DoNotIncludeTests())
                 .importPackages("baymoor", "merlinstep");
-        slices().matching("(baymoor.*)..").should().beFreeOfCycles().check(program);
+        slices().matching("(baymoor.*)..").should().beFreeOfCycles().check(classes);
         var layers = layeredArchitecture().consideringOnlyDependenciesInLayers();
         for (String name : new String[] {
             "config", "resp", "http", "inventory", "peers", "north", "south", "dispatch", "net", "assembly", "serve"
@@ -38,15 +38,15 @@
                 .mayOnlyBeAccessedByLayers("dispatch", "assembly", "serve")
                 .whereLayer("config")
                 .mayOnlyBeAccessedByLayers("assembly", "serve")
-                .check(program);
+                .check(classes);
         ArchRuleDefinition.noClasses()
                 .that()
                 .resideOutsideOfPackages("baymoor.net..", "merlinstep.simhost..")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage("org.apache.mina..", "java.nio.channels..")
-                .because("a state machine knows no socket")
-                .check(program);
+                .because("state machines must not depend on sockets")
+                .check(classes);
         ArchRuleDefinition.noClasses()
                 .that()
                 .resideInAPackage("baymoor..")
@@ -59,15 +59,15 @@
                         long.class,
                         merlinstep.Decisions.Event.class,
                         merlinstep.Decisions.Sink.class)
-                .because("dispatch alone calls the decisions")
-                .check(program);
+                .because("only dispatch may call the decisions")
+                .check(classes);
         ArchRuleDefinition.noClasses()
                 .that()
                 .resideInAPackage("baymoor.dispatch..")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage("baymoor.resp..", "baymoor.http..")
-                .because("dispatch knows no protocol")
-                .check(program);
+                .because("dispatch must not depend on protocols")
+                .check(classes);
     }
 }
