--- a/balancer/src/main/java/merlinstep/Rules.java
+++ b/balancer/src/main/java/merlinstep/Rules.java
@@ -854,13 +854,13 @@
     /** Sends, judges outcomes and gives final answers, within the effect rules. */
     final class Attempts {
         private final Map<String, Job> jobs = new LinkedHashMap<>(); // hash order must decide nothing
-        private final RequestClass unknown =
+        private final RequestClass unknownClass =
                 new RequestClass("", 0, 0, 1, Effect.UNSAFE, Group.CELL, 0, 0, 0, false);
         int originOutstanding;
         private double given = 1; // part of its aim that a client leaves: it may give up long before
 
         void arrived(Request r) {
-            RequestClass kind = classes.getOrDefault(r.requestClass(), unknown);
+            RequestClass kind = classes.getOrDefault(r.requestClass(), unknownClass);
             Job job = new Job(r, kind, now);
             long aim = kind.aimMicros() + (long) (kind.aimPerWork() * r.workMicros());
             job.inTimeUntilMicros = aim > 0 ? Math.min(now + aim, r.deadlineMicros()) : r.deadlineMicros();
@@ -985,8 +985,8 @@
         /** Calls off what waits at a silent cache, so that it can go elsewhere while there is time. */
         void abandon(Cache c) {
             if (!settings.limits().mayCancel()) return;
-            for (Job j : jobs.values()) if (j.at == c && j.kind.effect() == Effect.SAFE)
-                out.accept(new Cancel(j.request.id(), j.attempts - 1));
+            for (Job job : jobs.values()) if (job.at == c && job.kind.effect() == Effect.SAFE)
+                out.accept(new Cancel(job.request.id(), job.attempts - 1));
         }
     }
 
