--- a/balancer/src/main/java/merlinstep/Rules.java
+++ b/balancer/src/main/java/merlinstep/Rules.java
@@ -76,6 +76,7 @@
     private final long shortestAimMicros;
     /** Aims against those that the times above were chosen for: shorter ones leave less time to find out. */
     private final double pace;
+
     private final boolean aside;
     private final int maxAttempts;
     private Sink out;
@@ -182,7 +183,9 @@
             out.accept(new SetTimer(TICK, next > 0 ? next : subperiodMicros));
         }
 
-        int positionMillis() { return (int) ((now - periodStartMicros) / 1000); }
+        int positionMillis() {
+            return (int) ((now - periodStartMicros) / 1000);
+        }
 
         /**
          * Takes over the phase of the lowest-numbered peer heard: that needs no common clock. Danger: where
@@ -266,7 +269,8 @@
             long count = Math.min(d, (long) Math.floor((step + 1) * pace) - first);
             if (weights[me] <= 0 || count <= 0) return 0;
             int members = (int) Arrays.stream(weights).filter(w -> w > 0).count();
-            double low = Arrays.stream(weights, 0, me).sum(), sum = Arrays.stream(weights).sum();
+            double low = Arrays.stream(weights, 0, me).sum(),
+                    sum = Arrays.stream(weights).sum();
             int mine = (int) Math.min(Math.floor(pace / members), count / members);
             for (long c = first + (long) mine * members; c < first + count; c++) {
                 double at = (c * GOLDEN - Math.floor(c * GOLDEN)) * sum;
@@ -280,7 +284,9 @@
             return Math.max(0, Math.log10(subperiodMicros / 1e6 * SPEED / Math.max(1, size)));
         }
 
-        boolean mayFetch() { return credits > 0 && attempts.originOutstanding < outstandingCap; }
+        boolean mayFetch() {
+            return credits > 0 && attempts.originOutstanding < outstandingCap;
+        }
 
         /** A write is worth most and may overdraw: its credit is paid from the next share. */
         boolean mayWrite() {
@@ -301,7 +307,9 @@
         private long answers, latencyMillis, failures;
 
         Budget() {
-            double quota = settings.tenants().stream().mapToDouble(Tenant::quotaPerSecond).sum();
+            double quota = settings.tenants().stream()
+                    .mapToDouble(Tenant::quotaPerSecond)
+                    .sum();
             x = best = Math.max(settings.balancers(), FIRST_X_OF_QUOTA * quota);
         }
 
@@ -312,8 +320,12 @@
 
         /** The lowest of this estimate and of those that fresh peers have learnt, but for the noisiest. */
         double effective() {
-            double[] told = Arrays.stream(peers.all).filter(p -> p != peers.me).mapToDouble(Peer::allowance)
-                    .filter(a -> a < Double.MAX_VALUE).sorted().toArray();
+            double[] told = Arrays.stream(peers.all)
+                    .filter(p -> p != peers.me)
+                    .mapToDouble(Peer::allowance)
+                    .filter(a -> a < Double.MAX_VALUE)
+                    .sorted()
+                    .toArray();
             double low = told.length == 0 ? Double.MAX_VALUE : told[told.length / NOISY];
             // Danger: most restart at once, and what they have not learnt yet would bind them and then all.
             return learnt || low == Double.MAX_VALUE ? Math.min(x, low) : low;
@@ -395,8 +407,10 @@
         void tell() {
             Figures f = me.said;
             boolean pressed = held.queued() > 0 || f.queue() > 0 || ledger.contended || ledger.credits <= 1;
-            boolean changed = ledger.fetched != f.fetched() || held.queued() != f.queue()
-                    || attempts.originOutstanding != f.outstanding() || ledger.period != f.period();
+            boolean changed = ledger.fetched != f.fetched()
+                    || held.queued() != f.queue()
+                    || attempts.originOutstanding != f.outstanding()
+                    || ledger.period != f.period();
             long calm = attempts.jobs.isEmpty() ? PERIOD_MICROS / 2 : LOADS_MICROS;
             long gap = !changed ? PERIOD_MICROS : pressed ? ledger.subperiodMicros / 2 : calm;
             // Danger: each hears all others, and what a few tell freely costs a hundred a tenth of the worth.
@@ -407,10 +421,19 @@
             if (me.heardMicros != NEVER && now < me.heardMicros + gap) return;
             // Danger: told in step, all hear of a queue at once, leave it, and come back at the next word.
             me.heardMicros = now + (long) ((random.nextDouble() - 0.5) * dear);
-            me.said = new Figures(ledger.period, ledger.positionMillis(), ledger.fetched, held.queued(),
-                    (float) held.weight(), Math.max(0, ledger.credits), random.nextInt(1 << 16),
-                    attempts.originOutstanding, budget.learnt ? (float) budget.x : 0,
-                    (int) budget.answers, budget.latencyMillis, (int) budget.failures);
+            me.said = new Figures(
+                    ledger.period,
+                    ledger.positionMillis(),
+                    ledger.fetched,
+                    held.queued(),
+                    (float) held.weight(),
+                    Math.max(0, ledger.credits),
+                    random.nextInt(1 << 16),
+                    attempts.originOutstanding,
+                    budget.learnt ? (float) budget.x : 0,
+                    (int) budget.answers,
+                    budget.latencyMillis,
+                    (int) budget.failures);
             if (all.length == 1 || !settings.limits().mayTellPeers()) return;
             byte[] loads = Loads.of(slots.caches);
             told = Figures.BYTES + loads.length;
@@ -418,8 +441,12 @@
         }
 
         void heard(int from, byte[] content) {
-            if (from < 0 || from >= all.length || from == settings.index() || content == null
-                    || content.length < Figures.BYTES || content[0] != Figures.VERSION) return;
+            if (from < 0
+                    || from >= all.length
+                    || from == settings.index()
+                    || content == null
+                    || content.length < Figures.BYTES
+                    || content[0] != Figures.VERSION) return;
             ByteBuffer b = ByteBuffer.wrap(content, 1, content.length - 1);
             int incarnation = b.getShort() & 0xffff;
             int sequence = b.getInt();
@@ -457,7 +484,9 @@
                 if (c == null && s.state() != State.RUNNING) continue;
                 if (c == null) {
                     int kind = settings.kinds().indexOf(s.kind());
-                    c = new Cache(s.id(), aside && kind >= 0 && kind == settings.origin().kind());
+                    c = new Cache(
+                            s.id(),
+                            aside && kind >= 0 && kind == settings.origin().kind());
                     byId.put(c.id, c);
                     caches.add(c);
                     if (!c.origin) came.add(c);
@@ -511,7 +540,9 @@
             scores[r] = score;
         }
 
-        private double size(Cache c) { return live ? largestOfKind.getOrDefault(c.kind, c.size) : c.size; }
+        private double size(Cache c) {
+            return live ? largestOfKind.getOrDefault(c.kind, c.size) : c.size;
+        }
 
         /** Each cache's part of its slots: its size against the largest, times how warm it is at least. */
         private void weigh() {
@@ -548,14 +579,17 @@
         }
 
         private boolean cold(Cache c) {
-            return c.startedMicros != 0 && now - c.startedMicros < settings.rules().coldMicros();
+            return c.startedMicros != 0
+                    && now - c.startedMicros < settings.rules().coldMicros();
         }
 
         /** The part of its capacity that a cache has at least, growing evenly since its start. */
         private double warmth(Cache c) {
             double least = settings.rules().coldCapacity();
             double age = Math.max(0, now - c.startedMicros);
-            return cold(c) ? Math.min(1, least + (1 - least) * age / settings.rules().coldMicros()) : 1;
+            return cold(c)
+                    ? Math.min(1, least + (1 - least) * age / settings.rules().coldMicros())
+                    : 1;
         }
 
         void tick() {
@@ -574,19 +608,27 @@
             weigh();
         }
 
-        private double silence() { return Math.max(SILENT_LATENCIES * hitMicros, shortestAimMicros / 2.0); }
+        private double silence() {
+            return Math.max(SILENT_LATENCIES * hitMicros, shortestAimMicros / 2.0);
+        }
 
         /** Danger: a balancer that is held up itself hears nobody, and would put every server out of use. */
-        private boolean deaf() { return now - heardMicros >= silence() / 2; }
+        private boolean deaf() {
+            return now - heardMicros >= silence() / 2;
+        }
 
         /** Counts a request for the key and gives how many caches shall serve it. */
         int spread(long key) {
             return (int) Math.max(1, Math.min(RANKED, Math.ceil(counts.add(key) * usable / HOT_PART)));
         }
 
-        private boolean out(Cache c) { return c.suspect || c.area.down; }
+        private boolean out(Cache c) {
+            return c.suspect || c.area.down;
+        }
 
-        boolean usable(Cache c) { return c != null && c.running && !out(c) && room(c); }
+        boolean usable(Cache c) {
+            return c != null && c.running && !out(c) && room(c);
+        }
 
         boolean room(Cache c) {
             return c.load() < c.limit && now >= c.closedUntilMicros && (!cold(c) || c.tokens >= 1);
@@ -681,7 +723,9 @@
         }
 
         /** Errors everywhere are no server's own: out of use, they would only crowd the rest. */
-        private boolean mostWell() { return caches.stream().filter(this::out).count() < caches.size() / 2; }
+        private boolean mostWell() {
+            return caches.stream().filter(this::out).count() < caches.size() / 2;
+        }
 
         /** Danger: trials of many balancers, in step, would push a cache over when it is back. */
         private void delayTrial(Cache c) {
@@ -716,7 +760,9 @@
         }
 
         double weight() {
-            double sum = writes.stream().mapToDouble(j -> ledger.weight(j.request.workMicros())).sum();
+            double sum = writes.stream()
+                    .mapToDouble(j -> ledger.weight(j.request.workMicros()))
+                    .sum();
             for (Waiting w : keys) sum += w.free() ? ledger.weight(w.workMicros()) : 0;
             return sum;
         }
@@ -779,8 +825,11 @@
                 Job leader = best.mostUrgent();
                 boolean stale = now - best.sinceMicros >= budget.leastLatencyMicros;
                 // Another balancer may have filled the cache meanwhile: asking again costs no credit.
-                boolean ask = stale && peers.all.length > 1 && !leader.askedAgain
-                        && leader.attempts + 2 < maxAttempts && slots.usable(leader.missedAt);
+                boolean ask = stale
+                        && peers.all.length > 1
+                        && !leader.askedAgain
+                        && leader.attempts + 2 < maxAttempts
+                        && slots.usable(leader.missedAt);
                 if (!ask && !ledger.mayFetch()) return;
                 best.leader = leader;
                 leader.askedAgain |= ask;
@@ -820,7 +869,10 @@
 
         /** A cache has room again: of those that wait for it, what is worth most goes first. */
         void unpark(Cache c) {
-            Job best = parked.stream().filter(j -> j.parkedFor == c).min(this::before).orElse(null);
+            Job best = parked.stream()
+                    .filter(j -> j.parkedFor == c)
+                    .min(this::before)
+                    .orElse(null);
             if (best == null || !slots.room(c)) return;
             parked.remove(best);
             attempts.ask(best);
@@ -918,11 +970,13 @@
             if (over || job.at != null) return false;
             if (job.ranMicros == NEVER || job.kind.effect() == Effect.SAFE) return true;
             over |= now >= job.ranMicros + job.kind.windowMicros() - 2 * settings.tickMicros();
-            return job.kind.effect() == Effect.KEYED && !over && switch (job.kind.group()) {
-                case ALL -> true;
-                case ZONE -> to.area == job.ranAt.area;
-                case CELL -> to.cell == job.ranAt.cell;
-            };
+            return job.kind.effect() == Effect.KEYED
+                    && !over
+                    && switch (job.kind.group()) {
+                        case ALL -> true;
+                        case ZONE -> to.area == job.ranAt.area;
+                        case CELL -> to.cell == job.ranAt.cell;
+                    };
         }
 
         void ended(AttemptEnded e) {
@@ -974,7 +1028,8 @@
         void finish(Job job) {
             if (jobs.remove(job.request.id()) == null) return;
             held.remove(job);
-            boolean harmless = job.ranMicros == NEVER || job.kind.effect() == Effect.SAFE
+            boolean harmless = job.ranMicros == NEVER
+                    || job.kind.effect() == Effect.SAFE
                     || job.kind.effect() == Effect.KEYED && job.kind.group() == Group.ALL;
             // Its aim is past by the time a retry could be served: the longest advice keeps that load away.
             long wait = settings.limits().retryAfter() ? settings.limits().maxRetryAfterMicros() : 0;
@@ -985,8 +1040,9 @@
         /** Calls off what waits at a silent cache, so that it can go elsewhere while there is time. */
         void abandon(Cache c) {
             if (!settings.limits().mayCancel()) return;
-            for (Job job : jobs.values()) if (job.at == c && job.kind.effect() == Effect.SAFE)
-                out.accept(new Cancel(job.request.id(), job.attempts - 1));
+            for (Job job : jobs.values())
+                if (job.at == c && job.kind.effect() == Effect.SAFE)
+                    out.accept(new Cancel(job.request.id(), job.attempts - 1));
         }
     }
 
