--- a/balancer/src/test/java/merlinstep/StyleTest.java
+++ b/balancer/src/test/java/merlinstep/StyleTest.java
@@ -1,5 +1,6 @@
 package merlinstep;
 
+import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
@@ -11,13 +12,23 @@
 import java.util.regex.Pattern;
 import org.junit.jupiter.api.Test;
 
-/** The limits within which the operators read and approve the module. */
+/** The layout that the decision module keeps so that the operators can read and approve it. */
 class StyleTest {
 
     private static final Path RULES = Path.of("balancer/src/main/java/merlinstep/Rules.java");
     private static final Pattern SUPPRESS_ELEMENT = Pattern.compile("<suppress\\b[^>]*>");
     private static final Pattern FILES_ATTRIBUTE = Pattern.compile("files=\"([^\"]+)\"");
 
+    @Test
+    void theFormatterCoversTheModule() throws IOException {
+        String pom = Files.readString(Path.of("pom.xml"));
+        int formatter = pom.indexOf("<artifactId>spotless-maven-plugin</artifactId>");
+        assertTrue(formatter >= 0, "no formatter in pom.xml");
+        String configuration = pom.substring(formatter, pom.indexOf("</plugin>", formatter));
+        assertTrue(configuration.contains("<include>src/main/java/**/*.java</include>"), configuration);
+        assertFalse(configuration.contains("<exclude>"), configuration);
+    }
+
     @Test
     void theLinterCoversTheModule() throws IOException {
         String suppressions = Files.readString(Path.of("checkstyle-suppressions.xml"));
