--- a/balancer/src/main/java/merlinstep/Cache.java
+++ b/balancer/src/main/java/merlinstep/Cache.java
@@ -6,13 +6,24 @@
     final boolean origin;
     String kind;
     Area area;
-    int cell, outstanding, elsewhere, unanswered;
-    boolean running, suspect;
-    double size, sent, taken, tokens, failing;
+    int cell;
+    int outstanding;
+    int elsewhere;
+    int unanswered;
+    boolean running;
+    boolean suspect;
+    double size;
+    double sent;
+    double taken;
+    double tokens;
+    double failing;
     double part = 1;
     double limit = Rules.FIRST_LIMIT;
-    long gapMicros, closedUntilMicros;
-    long startedMicros, trialMicros, quietSinceMicros;
+    long gapMicros;
+    long closedUntilMicros;
+    long startedMicros;
+    long trialMicros;
+    long quietSinceMicros;
     long trialGapMicros = Rules.TRIAL_MICROS;
     long limitCutMicros = Long.MIN_VALUE;
 
@@ -48,7 +59,9 @@
         quietSinceMicros = nowMicros;
         area.heardMicros = nowMicros;
         area.down = false;
-        if (failing < Rules.DOUBTFUL) restore();
+        if (failing < Rules.DOUBTFUL) {
+            restore();
+        }
     }
 
     /** What is out here from all balancers, as far as they told. */
--- a/balancer/src/main/java/merlinstep/Figures.java
+++ b/balancer/src/main/java/merlinstep/Figures.java
@@ -40,7 +40,9 @@
 
     static Figures decode(ByteBuffer b) {
         int[] v = new int[7];
-        for (int i = 0; i < v.length; i++) v[i] = b.getShort() & 0xffff;
+        for (int i = 0; i < v.length; i++) {
+            v[i] = b.getShort() & 0xffff;
+        }
         float weight = b.getFloat();
         return new Figures(
                 v[0], v[1], v[2], v[3], weight, v[4], v[5], v[6], b.getFloat(), b.getInt(), b.getLong(), b.getInt());
--- a/balancer/src/main/java/merlinstep/Job.java
+++ b/balancer/src/main/java/merlinstep/Job.java
@@ -9,14 +9,23 @@
 final class Job {
     final Request request;
     final RequestClass kind;
-    final long key, arrivedMicros;
+    final long key;
+    final long arrivedMicros;
     final double worth;
-    long inTimeUntilMicros, usefulUntilMicros, sentMicros;
+    long inTimeUntilMicros;
+    long usefulUntilMicros;
+    long sentMicros;
     long ranMicros = Long.MIN_VALUE;
     int attempts;
     int spread = 1;
-    boolean askedAgain, served;
-    Cache at, ranAt, missedAt, home, parkedFor, shunned;
+    boolean askedAgain;
+    boolean served;
+    Cache at;
+    Cache ranAt;
+    Cache missedAt;
+    Cache home;
+    Cache parkedFor;
+    Cache shunned;
     Waiting waiting;
 
     Job(Request request, RequestClass kind, long now) {
@@ -43,7 +52,8 @@
         final long key;
         final List<Job> jobs = new ArrayList<>();
         Job leader;
-        long sinceMicros, readyMicros;
+        long sinceMicros;
+        long readyMicros;
 
         Waiting(long key, long now) {
             this.key = key;
--- a/balancer/src/main/java/merlinstep/Peer.java
+++ b/balancer/src/main/java/merlinstep/Peer.java
@@ -8,7 +8,8 @@
 
     boolean fresh;
     long heardMicros = Long.MIN_VALUE;
-    int incarnation, sequence;
+    int incarnation;
+    int sequence;
     /** What it last told to have out at each cache. */
     byte[] loads = Loads.NONE;
 
--- a/balancer/src/main/java/merlinstep/Rules.java
+++ b/balancer/src/main/java/merlinstep/Rules.java
@@ -67,7 +67,8 @@
     static final long ASK_MICROS = 500_000; // first pause after a failed list call: it may be that one
     static final long MOST_ASK_MICROS = 2_000_000; // and the longest: what is listed counts as told in 6 s
 
-    private static final long NEVER = Long.MIN_VALUE, TICK = 1;
+    private static final long NEVER = Long.MIN_VALUE;
+    private static final long TICK = 1;
     private static final double GOLDEN = 0.6180339887498949;
 
     private final Settings settings;
@@ -81,7 +82,8 @@
     private final int maxAttempts;
     private Sink out;
     private boolean started;
-    private long now, logAllowedMicros;
+    private long now;
+    private long logAllowedMicros;
     final Ledger ledger;
     final Budget budget;
     final Peers peers;
@@ -91,7 +93,9 @@
     final Membership membership;
 
     Rules(Settings settings) {
-        if (settings == null) throw new IllegalArgumentException("setting settings is missing");
+        if (settings == null) {
+            throw new IllegalArgumentException("setting settings is missing");
+        }
         this.settings = settings;
         random = new Random(settings.seed());
         long shortest = Long.MAX_VALUE;
@@ -136,7 +140,9 @@
             peers.heard(e.from(), e.content());
         } else if (event instanceof RequestGone e) {
             Job job = attempts.jobs.remove(e.request());
-            if (job != null) held.remove(job);
+            if (job != null) {
+                held.remove(job);
+            }
         } else if (event instanceof ServerList e) {
             membership.listed(e);
         }
@@ -144,7 +150,9 @@
 
     /** One line a second at most: a flood of lines hides the one that matters. */
     private void log(String text) {
-        if (now < logAllowedMicros) return;
+        if (now < logAllowedMicros) {
+            return;
+        }
         logAllowedMicros = now + PERIOD_MICROS;
         out.accept(new Log(text));
     }
@@ -153,10 +161,14 @@
     final class Ledger {
         final int subperiods;
         final long subperiodMicros;
-        int period, fetched;
+        int period;
+        int fetched;
         boolean contended;
         private long periodStartMicros;
-        private int subperiod, credits, kept, outstandingCap;
+        private int subperiod;
+        private int credits;
+        private int kept;
+        private int outstandingCap;
         private boolean bound;
 
         Ledger() {
@@ -194,7 +206,9 @@
         void follow(int peerPeriod, int positionMillis) {
             long position = positionMillis * 1000L;
             long ahead = (short) (peerPeriod - period) * PERIOD_MICROS + position - (now - periodStartMicros);
-            if (Math.abs(ahead) <= subperiodMicros / 2) return;
+            if (Math.abs(ahead) <= subperiodMicros / 2) {
+                return;
+            }
             if (Math.abs(ahead) < PERIOD_MICROS) {
                 periodStartMicros = Math.min(now, periodStartMicros - ahead);
             } else {
@@ -205,15 +219,22 @@
         }
 
         private void deal() {
-            int b = settings.balancers(), me = settings.index();
+            int b = settings.balancers();
+            int me = settings.index();
             double x = budget.effective() * peers.refresh() / b;
             double[] weights = new double[b];
             int[] draws = new int[b];
-            int queued = held.queued(), spent = 0, outstanding = 0, idle = 0;
-            boolean dry = false, before = contended;
+            int queued = held.queued();
+            int spent = 0;
+            int outstanding = 0;
+            int idle = 0;
+            boolean dry = false;
+            boolean before = contended;
             for (int j = 0; j < b; j++) {
                 Figures f = peers.all[j].said;
-                if (!peers.all[j].fresh) continue; // its even share stays aside
+                if (!peers.all[j].fresh) {
+                    continue; // its even share stays aside
+                }
                 weights[j] = f.queue() == 0 ? weight(1) : f.weight();
                 draws[j] = f.draw();
                 queued += j == me ? 0 : f.queue();
@@ -226,13 +247,18 @@
             long total = (long) Math.floor(x * (period + 1)) - (long) Math.floor(x * period);
             // Danger: a slow origin would get credits long before it fails; what it holds counts.
             double window = x * Math.max(budget.targetMicros(), subperiodMicros) / 1e6;
-            long left = Math.max(0, total - spent), room = (long) Math.ceil(window) + idle - outstanding;
+            long left = Math.max(0, total - spent);
+            long room = (long) Math.ceil(window) + idle - outstanding;
             long d = Math.max(0, Math.min(left, room));
             double pace = x / subperiods;
             contended = queued > Math.max(Math.ceil(pace), b);
             bound |= queued > 0 && (contended || d == 0 || dry);
             boolean even = !contended && (subperiod == 0 || queued == 0);
-            if (even) for (int j = 0; j < b; j++) weights[j] = peers.all[j].fresh ? 1 : 0;
+            if (even) {
+                for (int j = 0; j < b; j++) {
+                    weights[j] = peers.all[j].fresh ? 1 : 0;
+                }
+            }
             long step = (long) period * subperiods + subperiod;
             int share = contended ? contention(d, pace, weights, me, step) : share(left, weights, draws, me);
             double sum = Arrays.stream(weights).sum();
@@ -244,21 +270,30 @@
             // Danger: of a hundred, most have no miss when their turn comes. Each keeps one credit for its
             // next, so that the tier is over a period's allowance by one each at most.
             kept = contended && before ? Math.min(kept, Math.max(0, credits)) : 0;
-            if (contended && held.keys.isEmpty()) kept = Math.min(1, kept + share);
+            if (contended && held.keys.isEmpty()) {
+                kept = Math.min(1, kept + share);
+            }
             credits = !contended ? Math.min(share - since, open) : held.keys.isEmpty() ? kept : kept + share;
         }
 
         /** Equation 8 with a ceiling; the surplus of equation 9 goes back by lowest draw, then number. */
         static int share(long d, double[] weights, int[] draws, int me) {
             double sum = Arrays.stream(weights).sum();
-            if (sum <= 0 || d <= 0) return 0;
+            if (sum <= 0 || d <= 0) {
+                return 0;
+            }
             long surplus = -d;
-            int mine = 0, lower = 0;
+            int mine = 0;
+            int lower = 0;
             for (int j = 0; j < weights.length; j++) {
                 int x = (int) Math.ceil(d * weights[j] / sum - 1e-9);
                 surplus += x;
-                if (j == me) mine = x;
-                if (x > 0 && (draws[j] < draws[me] || draws[j] == draws[me] && j < me)) lower++;
+                if (j == me) {
+                    mine = x;
+                }
+                if (x > 0 && (draws[j] < draws[me] || draws[j] == draws[me] && j < me)) {
+                    lower++;
+                }
             }
             return mine > 0 && lower < surplus ? mine - 1 : mine;
         }
@@ -267,10 +302,12 @@
         static int contention(long d, double pace, double[] weights, int me, long step) {
             long first = (long) Math.floor(step * pace);
             long count = Math.min(d, (long) Math.floor((step + 1) * pace) - first);
-            if (weights[me] <= 0 || count <= 0) return 0;
+            if (weights[me] <= 0 || count <= 0) {
+                return 0;
+            }
             int members = (int) Arrays.stream(weights).filter(w -> w > 0).count();
-            double low = Arrays.stream(weights, 0, me).sum(),
-                    sum = Arrays.stream(weights).sum();
+            double low = Arrays.stream(weights, 0, me).sum();
+            double sum = Arrays.stream(weights).sum();
             int mine = (int) Math.min(Math.floor(pace / members), count / members);
             for (long c = first + (long) mine * members; c < first + count; c++) {
                 double at = (c * GOLDEN - Math.floor(c * GOLDEN)) * sum;
@@ -301,16 +338,23 @@
 
     /** Learns X, the fetches a second that the origin answers in good time, from all balancers' answers. */
     final class Budget {
-        private double x, best, rateBefore, cutMean;
+        private double x;
+        private double best;
+        private double rateBefore;
+        private double cutMean;
         private double leastLatencyMicros = shortestAimMicros / 4.0; // until seen: a usable one is quicker
-        private boolean learnt, grown;
-        private long answers, latencyMillis, failures;
+        private boolean learnt;
+        private boolean grown;
+        private long answers;
+        private long latencyMillis;
+        private long failures;
 
         Budget() {
             double quota = settings.tenants().stream()
                     .mapToDouble(Tenant::quotaPerSecond)
                     .sum();
-            x = best = Math.max(settings.balancers(), FIRST_X_OF_QUOTA * quota);
+            best = Math.max(settings.balancers(), FIRST_X_OF_QUOTA * quota);
+            x = best;
         }
 
         /** The mean time of an answer up to which X grows: past it misses come too late for their aims. */
@@ -343,7 +387,10 @@
 
         /** Once a period, on what all fresh peers saw: one sees too little. What failed counts as slow. */
         void endOfPeriod(boolean bound) {
-            long n = 0, millis = 0, bad = 0, heard = 0;
+            long n = 0;
+            long millis = 0;
+            long bad = 0;
+            long heard = 0;
             for (Peer p : peers.all) {
                 heard += p.fresh ? 1 : 0;
                 n += p.said.answers() - p.counted.answers();
@@ -351,20 +398,25 @@
                 bad += p.said.failures() - p.counted.failures();
                 p.counted = p.said;
             }
-            double delivered = (double) n * settings.balancers() / heard, target = targetMicros();
+            double delivered = (double) n * settings.balancers() / heard;
+            double target = targetMicros();
             double mean = n + bad > 0 ? (1000.0 * millis + 2 * bad * target) / (n + bad) : 0;
             x = Math.min(learnt ? x : Math.max(x, effective()), effective() * GROWTH); // to test a peer's
             double most = Math.max(delivered, rateBefore); // one period alone may have been a thin one
-            boolean known = n + bad > Math.min(1, x / 2), tested = known && bound && n > 0;
+            boolean known = n + bad > Math.min(1, x / 2);
+            boolean tested = known && bound && n > 0;
             boolean late = known && mean > target;
             // Danger: a slowed origin looks like a queue, and cuts would go on to nothing. Where fewer out
             // cost rate rather than time, the time is its own.
-            double rate = delivered / rateBefore, time = mean / cutMean;
+            double rate = delivered / rateBefore;
+            double time = mean / cutMean;
             boolean itself = late && n > 0 && cutMean > 0 && rate * time < SAME && time > rate;
             rateBefore = delivered;
             cutMean = late && !itself ? mean : 0;
             if (late && !itself) {
-                if (grown) best = Math.min(best, x); // a step up that was too much
+                if (grown) {
+                    best = Math.min(best, x); // a step up that was too much
+                }
                 x = Math.max(1, Math.min(x, Math.max(CUT * most, x / 2)));
                 log("origin slow: allowance down to " + Math.round(x) + " fetches a second");
             } else if (known) {
@@ -377,7 +429,9 @@
             grown = !late && tested;
             learnt |= late || tested;
             double eased = itself ? Math.min(mean, shortestAimMicros) : leastLatencyMicros * EASING;
-            if (n >= 4 || itself) leastLatencyMicros = Math.min(1000.0 * millis / n, eased);
+            if (n >= 4 || itself) {
+                leastLatencyMicros = Math.min(1000.0 * millis / n, eased);
+            }
         }
     }
 
@@ -388,7 +442,9 @@
         private int told = Figures.BYTES;
 
         Peers() {
-            for (int i = 0; i < all.length; i++) all[i] = new Peer();
+            for (int i = 0; i < all.length; i++) {
+                all[i] = new Peer();
+            }
             me = all[settings.index()];
             me.incarnation = random.nextInt(1 << 16);
         }
@@ -418,7 +474,9 @@
             double requests = Math.max(1, slots.counts.total()) / (1.5 * COUNT_HALF_LIFE_MICROS); // a micro
             double dear = Math.min(PERIOD_MICROS, cost / (TELLING_PART * requests));
             gap = Math.max(gap, (long) dear);
-            if (me.heardMicros != NEVER && now < me.heardMicros + gap) return;
+            if (me.heardMicros != NEVER && now < me.heardMicros + gap) {
+                return;
+            }
             // Danger: told in step, all hear of a queue at once, leave it, and come back at the next word.
             me.heardMicros = now + (long) ((random.nextDouble() - 0.5) * dear);
             me.said = new Figures(
@@ -434,7 +492,9 @@
                     (int) budget.answers,
                     budget.latencyMillis,
                     (int) budget.failures);
-            if (all.length == 1 || !settings.limits().mayTellPeers()) return;
+            if (all.length == 1 || !settings.limits().mayTellPeers()) {
+                return;
+            }
             byte[] loads = Loads.of(slots.caches);
             told = Figures.BYTES + loads.length;
             out.accept(new TellPeer(TellPeer.EVERYONE, me.said.encode(me.incarnation, ++me.sequence, loads)));
@@ -446,16 +506,24 @@
                     || from == settings.index()
                     || content == null
                     || content.length < Figures.BYTES
-                    || content[0] != Figures.VERSION) return;
+                    || content[0] != Figures.VERSION) {
+                return;
+            }
             ByteBuffer b = ByteBuffer.wrap(content, 1, content.length - 1);
             int incarnation = b.getShort() & 0xffff;
             int sequence = b.getInt();
             Figures f = Figures.decode(b);
             Peer p = all[from];
             boolean known = p.heardMicros != NEVER && incarnation == p.incarnation;
-            if (!f.possible() || known && sequence <= p.sequence) return; // foreign, repeated or overtaken
+            if (!f.possible() || known && sequence <= p.sequence) {
+                return; // foreign, repeated or overtaken
+            }
             p.hear(incarnation, sequence, now, f, Arrays.copyOfRange(content, b.position(), content.length));
-            for (int i = 0; i < from; i++) if (all[i].fresh) return;
+            for (int i = 0; i < from; i++) {
+                if (all[i].fresh) {
+                    return;
+                }
+            }
             ledger.follow(f.period(), f.positionMillis());
         }
     }
@@ -472,16 +540,24 @@
         private Cache origin;
         private final KeyCounts counts = new KeyCounts(COUNTERS);
         private final boolean live = settings.weights() == Weights.LIVE; // then sizes fall with load
-        private double usable, meanLoad, mostTaken, hitMicros = shortestAimMicros / 4, needMicros = hitMicros;
-        private long halvedMicros = NEVER, heardMicros = NEVER / 2;
+        private double usable;
+        private double meanLoad;
+        private double mostTaken;
+        private double hitMicros = shortestAimMicros / 4;
+        private double needMicros = hitMicros;
+        private long halvedMicros = NEVER;
+        private long heardMicros = NEVER / 2;
 
         /** Takes a list in; slots are ranked anew only where caches came or went. */
         void listed(ServerList list) {
             Set<Cache> seen = new HashSet<>();
-            Set<Cache> came = new LinkedHashSet<>(), went = new HashSet<>();
+            Set<Cache> came = new LinkedHashSet<>();
+            Set<Cache> went = new HashSet<>();
             for (Server s : list.servers()) {
                 Cache c = byId.get(s.id());
-                if (c == null && s.state() != State.RUNNING) continue;
+                if (c == null && s.state() != State.RUNNING) {
+                    continue;
+                }
                 if (c == null) {
                     int kind = settings.kinds().indexOf(s.kind());
                     c = new Cache(
@@ -489,7 +565,9 @@
                             aside && kind >= 0 && kind == settings.origin().kind());
                     byId.put(c.id, c);
                     caches.add(c);
-                    if (!c.origin) came.add(c);
+                    if (!c.origin) {
+                        came.add(c);
+                    }
                 }
                 if (s.startedMicros() != c.startedMicros) {
                     c.restore(); // what was held against the process before is void
@@ -501,17 +579,25 @@
             }
             for (Cache c : List.copyOf(caches)) {
                 c.running &= list.kind() == ListKind.CHANGES || seen.contains(c);
-                if (c.running) continue; // draining or gone: nothing new from now on, the grace is not used
-                if (c.origin) attempts.originOutstanding = 0;
+                if (c.running) {
+                    continue; // draining or gone: nothing new from now on, the grace is not used
+                }
+                if (c.origin) {
+                    attempts.originOutstanding = 0;
+                }
                 c.restore();
                 caches.remove(c);
                 byId.remove(c.id);
-                if (!c.origin && !came.remove(c)) went.add(c);
+                if (!c.origin && !came.remove(c)) {
+                    went.add(c);
+                }
             }
             caches.sort(Comparator.comparingLong(c -> c.id));
             origin = caches.stream().filter(c -> c.origin).findFirst().orElse(null);
             byTag.clear();
-            for (Cache c : caches) byTag.put(Loads.tag(c.id), c);
+            for (Cache c : caches) {
+                byTag.put(Loads.tag(c.id), c);
+            }
             rank(came, went);
             weigh();
         }
@@ -521,16 +607,28 @@
             for (int s = 0; s < SLOTS && !(came.isEmpty() && went.isEmpty()); s++) {
                 int base = s * RANKED;
                 boolean anew = false;
-                for (int r = 0; r < RANKED && !went.isEmpty(); r++) anew |= went.contains(ranked[base + r]);
-                if (anew) Arrays.fill(ranked, base, base + RANKED, null);
-                if (anew) Arrays.fill(scores, base, base + RANKED, 0);
-                for (Cache c : anew ? caches : came) if (!c.origin) place(s, base, c);
+                for (int r = 0; r < RANKED && !went.isEmpty(); r++) {
+                    anew |= went.contains(ranked[base + r]);
+                }
+                if (anew) {
+                    Arrays.fill(ranked, base, base + RANKED, null);
+                }
+                if (anew) {
+                    Arrays.fill(scores, base, base + RANKED, 0);
+                }
+                for (Cache c : anew ? caches : came) {
+                    if (!c.origin) {
+                        place(s, base, c);
+                    }
+                }
             }
         }
 
         private void place(int slot, int base, Cache c) {
             long score = Hash.mix(slot * 0x9e3779b97f4a7c15L + c.id) >>> 1;
-            if (score <= scores[base + RANKED - 1]) return;
+            if (score <= scores[base + RANKED - 1]) {
+                return;
+            }
             int r = base + RANKED - 1;
             for (; r > base && score > scores[r - 1]; r--) {
                 ranked[r] = ranked[r - 1];
@@ -546,19 +644,33 @@
 
         /** Each cache's part of its slots: its size against the largest, times how warm it is at least. */
         private void weigh() {
-            double largest = 0, taken = 0, load = 0;
+            double largest = 0;
+            double taken = 0;
+            double load = 0;
             usable = 0;
-            for (Cache c : caches) c.elsewhere = 0;
-            for (Peer p : peers.all) if (now < p.heardMicros + 2 * PERIOD_MICROS) Loads.add(p.loads, byTag);
             for (Cache c : caches) {
-                if (c.origin) continue;
-                if (live) largestOfKind.merge(c.kind, c.size, Math::max);
+                c.elsewhere = 0;
+            }
+            for (Peer p : peers.all) {
+                if (now < p.heardMicros + 2 * PERIOD_MICROS) {
+                    Loads.add(p.loads, byTag);
+                }
+            }
+            for (Cache c : caches) {
+                if (c.origin) {
+                    continue;
+                }
+                if (live) {
+                    largestOfKind.merge(c.kind, c.size, Math::max);
+                }
                 largest = Math.max(largest, size(c));
             }
             for (Cache c : caches) {
                 boolean sized = settings.weights() != Weights.NONE && largest > 0;
                 c.part = (sized ? Math.max(0.05, size(c) / largest) : 1) * warmth(c);
-                if (c.origin || out(c)) continue;
+                if (c.origin || out(c)) {
+                    continue;
+                }
                 taken += c.taken;
                 load += c.load();
                 usable += c.part;
@@ -601,7 +713,9 @@
             for (Cache c : caches) {
                 // Danger: a vanished machine sends no reset; each request to it would wait out its time.
                 boolean silent = c.unanswered >= SILENT_ATTEMPTS && now - c.quietSinceMicros >= silence;
-                if (!silent || c.suspect || c.origin || deaf()) continue;
+                if (!silent || c.suspect || c.origin || deaf()) {
+                    continue;
+                }
                 suspect(c);
                 attempts.abandon(c);
             }
@@ -646,34 +760,56 @@
         /** The cache for a key: its slot's first, or of {@code spread} the least busy; null to wait. */
         Cache pick(long key, int spread, Cache shunned) {
             int slot = (int) (Hash.mix(key) & SLOTS - 1);
-            int found = 0, ties = 0;
-            Cache best = null, last = null;
+            int found = 0;
+            int ties = 0;
+            Cache best = null;
+            Cache last = null;
             for (int r = 0; r < RANKED && found < spread; r++) {
                 Cache c = ranked[slot * RANKED + r];
-                if (c == null || c == shunned || out(c) && !trial(c)) continue;
-                if (out(c)) return c;
+                if (c == null || c == shunned || out(c) && !trial(c)) {
+                    continue;
+                }
+                if (out(c)) {
+                    return c;
+                }
                 last = c;
                 // A part of the slots, not of time: the same ones at every balancer, and few move.
                 double place = (Hash.mix(slot * 31L ^ c.id * 0x9e3779b97f4a7c15L) >>> 11) * 0x1p-53;
-                if (place >= c.part * kept(c)) continue;
-                if (cold(c) && c.tokens < 1) continue; // the next one takes what a cold cache can't
+                if (place >= c.part * kept(c)) {
+                    continue;
+                }
+                if (cold(c) && c.tokens < 1) {
+                    continue; // the next one takes what a cold cache can't
+                }
                 // Danger: one that turns away all, with nothing of ours there, keeps its keys waiting for it.
-                if (now < c.closedUntilMicros && c.outstanding == 0 && c.limit < 2) continue;
+                if (now < c.closedUntilMicros && c.outstanding == 0 && c.limit < 2) {
+                    continue;
+                }
                 found++;
-                if (!room(c)) continue;
+                if (!room(c)) {
+                    continue;
+                }
                 double busy = (c.sent + c.load()) / c.part;
                 double lead = best == null ? 1 : (best.sent + best.load()) / best.part - busy;
                 ties = lead > 0 ? 1 : ties + 1;
-                if (lead > 0 || lead == 0 && random.nextInt(ties) == 0) best = c;
+                if (lead > 0 || lead == 0 && random.nextInt(ties) == 0) {
+                    best = c;
+                }
+            }
+            if (found > 0) {
+                return best;
+            }
+            for (Cache c : caches) {
+                last = last == null && !c.origin && !out(c) ? c : last;
             }
-            if (found > 0) return best;
-            for (Cache c : caches) last = last == null && !c.origin && !out(c) ? c : last;
             return usable(last) ? last : null;
         }
 
         /** Whether a request may try a server out of use: one now and then, so that its return is noticed. */
         boolean trial(Cache c) {
-            if (now < (c.area.down ? c.area.trialMicros : c.trialMicros)) return false;
+            if (now < (c.area.down ? c.area.trialMicros : c.trialMicros)) {
+                return false;
+            }
             c.area.trialMicros = now + (long) (pace * TRIAL_MICROS);
             delayTrial(c);
             return true;
@@ -687,7 +823,9 @@
             boolean silent = outcome == Outcome.TIMED_OUT || outcome == Outcome.NOT_CONNECTED;
             boolean served = outcome == Outcome.SERVED;
             boolean failed = outcome == Outcome.ERROR; // a reset says more of the connection
-            if (!c.origin && (failed || served || outcome == Outcome.MISS)) c.answered(failed);
+            if (!c.origin && (failed || served || outcome == Outcome.MISS)) {
+                c.answered(failed);
+            }
             boolean late = (served || outcome == Outcome.TIMED_OUT) && latencyMicros > aimMicros / 2;
             if ((late || outcome == Outcome.FULL) && now >= c.limitCutMicros) {
                 c.limitCutMicros = now + latencyMicros;
@@ -697,28 +835,50 @@
             }
             // Danger: what is turned away or times out is no measure of what a cache takes.
             c.taken += served ? 1 : outcome == Outcome.MISS ? MISS_COST : 0;
-            if (outcome == Outcome.MISS) c.sent -= Math.min(c.sent, 1 - MISS_COST);
-            if (outcome == Outcome.MISS) c.tokens += 1 - MISS_COST; // what it cost, not what it might have
+            if (outcome == Outcome.MISS) {
+                c.sent -= Math.min(c.sent, 1 - MISS_COST);
+            }
+            if (outcome == Outcome.MISS) {
+                c.tokens += 1 - MISS_COST; // what it cost, not what it might have
+            }
             if (outcome == Outcome.FULL) {
                 c.gapMicros = (long) Math.min(pace * PERIOD_MICROS, Math.max(2 * c.gapMicros, hitMicros / 4));
                 c.closedUntilMicros = now + (long) ((0.5 + random.nextDouble()) * c.gapMicros);
             }
-            if (served) c.gapMicros /= 2;
+            if (served) {
+                c.gapMicros /= 2;
+            }
             double need = Math.min(MOST_NEED * shortestAimMicros, served ? latencyMicros : 2 * latencyMicros);
-            if (!c.origin && (served || outcome == Outcome.TIMED_OUT)) needMicros += (need - needMicros) / 16;
+            if (!c.origin && (served || outcome == Outcome.TIMED_OUT)) {
+                needMicros += (need - needMicros) / 16;
+            }
             if (silent) {
                 boolean unheard = now - c.area.heardMicros > settings.limits().connectTimeoutMicros();
                 unheard &= outcome == Outcome.NOT_CONNECTED;
-                if (c.suspect || c.unanswered >= SILENT_ATTEMPTS && !deaf() || unheard) suspect(c);
+                if (c.suspect || c.unanswered >= SILENT_ATTEMPTS && !deaf() || unheard) {
+                    suspect(c);
+                }
             } else if (outcome != Outcome.CANCELLED && outcome != Outcome.NOT_SENT) {
                 // A link is back: each server behind it would else wait for a trial of its own.
-                if (c.area.down) for (Cache other : caches) if (other.area == c.area) other.restore();
+                if (c.area.down) {
+                    for (Cache other : caches) {
+                        if (other.area == c.area) {
+                            other.restore();
+                        }
+                    }
+                }
                 c.heard(now);
                 heardMicros = now;
-                if (c.suspect && !failed) c.trialMicros = now; // one more trial tells whether it serves again
+                if (c.suspect && !failed) {
+                    c.trialMicros = now; // one more trial tells whether it serves again
+                }
                 // Danger: one that fails at once looks idle, and draws its requests till their tries end.
-                if (failed && c.failing > FAILING && !c.origin && mostWell()) suspect(c);
-                if (served && !c.origin) hitMicros += (latencyMicros - hitMicros) / 64;
+                if (failed && c.failing > FAILING && !c.origin && mostWell()) {
+                    suspect(c);
+                }
+                if (served && !c.origin) {
+                    hitMicros += (latencyMicros - hitMicros) / 64;
+                }
             }
         }
 
@@ -734,8 +894,11 @@
         }
 
         private void suspect(Cache c) {
-            if (c.suspect) c.trialGapMicros = Math.min(2 * c.trialGapMicros, MAX_TRIAL_MICROS);
-            else log("server " + c.id + (c.failing > FAILING ? " fails" : " is silent") + ": out of use");
+            if (c.suspect) {
+                c.trialGapMicros = Math.min(2 * c.trialGapMicros, MAX_TRIAL_MICROS);
+            } else {
+                log("server " + c.id + (c.failing > FAILING ? " fails" : " is silent") + ": out of use");
+            }
             c.suspect();
             delayTrial(c);
             // Danger: behind a cut link every server would have to fail by itself, one time-out each.
@@ -763,13 +926,17 @@
             double sum = writes.stream()
                     .mapToDouble(j -> ledger.weight(j.request.workMicros()))
                     .sum();
-            for (Waiting w : keys) sum += w.free() ? ledger.weight(w.workMicros()) : 0;
+            for (Waiting w : keys) {
+                sum += w.free() ? ledger.weight(w.workMicros()) : 0;
+            }
             return sum;
         }
 
         void missed(Job job, boolean fetchedElsewhere) {
             Waiting w = job.waiting;
-            for (Waiting other : keys) w = w == null && other.key == job.key ? other : w;
+            for (Waiting other : keys) {
+                w = w == null && other.key == job.key ? other : w;
+            }
             if (w == null) {
                 w = new Waiting(job.key, now);
                 keys.add(w);
@@ -780,8 +947,12 @@
                 double wait = b == 1 ? 0 : (fetchedElsewhere ? 1 : 0) + (ledger.contended ? turn : 0);
                 w.readyMicros += (long) (wait * budget.leastLatencyMicros);
             }
-            if (w.leader == job) w.leader = null; // asked again in vain: now it is for a credit
-            if (job.waiting == null) w.jobs.add(job);
+            if (w.leader == job) {
+                w.leader = null; // asked again in vain: now it is for a credit
+            }
+            if (job.waiting == null) {
+                w.jobs.add(job);
+            }
             job.waiting = w;
             release();
             answerIfDue(job);
@@ -801,13 +972,17 @@
         /** Danger: a client's last try may have less time left than to the next tick, and be lost. */
         void answerIfDue(Job job) {
             boolean due = job.heldUntilMicros() < now + ledger.subperiodMicros + settings.tickMicros();
-            if (due && job.at == null) attempts.finish(job);
+            if (due && job.at == null) {
+                attempts.finish(job);
+            }
         }
 
         /** Spends what credits there are: writes first, then the key whose waiters are worth most. */
         void release() {
             Cache origin = slots.origin;
-            if (origin == null || slots.out(origin) && !(queued() > 0 && slots.trial(origin))) return;
+            if (origin == null || slots.out(origin) && !(queued() > 0 && slots.trial(origin))) {
+                return;
+            }
             while (!writes.isEmpty() && ledger.mayWrite()) {
                 ledger.spend();
                 attempts.send(writes.remove(0), origin, 0);
@@ -820,7 +995,9 @@
                     best = worth >= most ? w : best;
                     most = Math.max(worth, most);
                 }
-                if (best == null) return;
+                if (best == null) {
+                    return;
+                }
                 // The one with least time takes the answer of the fetch, the others ask the cache after it.
                 Job leader = best.mostUrgent();
                 boolean stale = now - best.sinceMicros >= budget.leastLatencyMicros;
@@ -830,7 +1007,9 @@
                         && !leader.askedAgain
                         && leader.attempts + 2 < maxAttempts
                         && slots.usable(leader.missedAt);
-                if (!ask && !ledger.mayFetch()) return;
+                if (!ask && !ledger.mayFetch()) {
+                    return;
+                }
                 best.leader = leader;
                 leader.askedAgain |= ask;
                 if (!ask) {
@@ -845,13 +1024,18 @@
         void served(Job job) {
             Waiting w = job.waiting;
             remove(job);
-            if (w == null || w.leader != job) return;
+            if (w == null || w.leader != job) {
+                return;
+            }
             keys.remove(w);
             for (Job j : w.jobs) {
                 j.waiting = null;
                 j.home = job.missedAt;
-                if (j.attempts + 1 < maxAttempts) attempts.ask(j);
-                else missed(j, false);
+                if (j.attempts + 1 < maxAttempts) {
+                    attempts.ask(j);
+                } else {
+                    missed(j, false);
+                }
             }
         }
 
@@ -860,8 +1044,12 @@
             Waiting w = job.waiting;
             if (w != null) {
                 w.jobs.remove(job);
-                if (w.leader == job && !job.served) w.leader = null;
-                if (w.jobs.isEmpty()) keys.remove(w);
+                if (w.leader == job && !job.served) {
+                    w.leader = null;
+                }
+                if (w.jobs.isEmpty()) {
+                    keys.remove(w);
+                }
             }
             writes.remove(job);
             parked.remove(job);
@@ -873,7 +1061,9 @@
                     .filter(j -> j.parkedFor == c)
                     .min(this::before)
                     .orElse(null);
-            if (best == null || !slots.room(c)) return;
+            if (best == null || !slots.room(c)) {
+                return;
+            }
             parked.remove(best);
             attempts.ask(best);
         }
@@ -892,13 +1082,25 @@
             List<Job> late = new ArrayList<>();
             for (Waiting w : keys) {
                 double last = w.leader == null ? fetch : until;
-                for (Job j : w.jobs) if (j != w.leader && j.usefulUntilMicros < last) late.add(j);
+                for (Job j : w.jobs) {
+                    if (j != w.leader && j.usefulUntilMicros < last) {
+                        late.add(j);
+                    }
+                }
+            }
+            for (Job j : writes) {
+                if (j.heldUntilMicros() < fetch) {
+                    late.add(j);
+                }
+            }
+            for (Job j : late) {
+                attempts.finish(j);
             }
-            for (Job j : writes) if (j.heldUntilMicros() < fetch) late.add(j);
-            for (Job j : late) attempts.finish(j);
             List<Job> again = parked.stream().sorted(this::before).toList();
             parked.clear();
-            for (Job j : again) attempts.ask(j);
+            for (Job j : again) {
+                attempts.ask(j);
+            }
             release();
         }
     }
@@ -920,8 +1122,11 @@
             given += (Math.min(1, (r.deadlineMicros() - now) / (aim + 1.0)) - given) / GIVEN_SEEN;
             jobs.put(r.id(), job);
             job.spread = slots.spread(job.key);
-            if (r.write() && aside) held.write(job);
-            else ask(job);
+            if (r.write() && aside) {
+                held.write(job);
+            } else {
+                ask(job);
+            }
         }
 
         /** Asks the key's cache, or parks the request while there is no room. */
@@ -967,8 +1172,12 @@
         /** Danger: an effect twice. After one that may have run only the class's repeats are harmless. */
         private boolean maySend(Job job, Cache to) {
             boolean over = now >= job.request.deadlineMicros() || job.attempts >= maxAttempts;
-            if (over || job.at != null) return false;
-            if (job.ranMicros == NEVER || job.kind.effect() == Effect.SAFE) return true;
+            if (over || job.at != null) {
+                return false;
+            }
+            if (job.ranMicros == NEVER || job.kind.effect() == Effect.SAFE) {
+                return true;
+            }
             over |= now >= job.ranMicros + job.kind.windowMicros() - 2 * settings.tickMicros();
             return job.kind.effect() == Effect.KEYED
                     && !over
@@ -983,14 +1192,21 @@
             Job job = jobs.get(e.request());
             Cache at = job != null && job.at != null ? job.at : slots.byId.get(e.server());
             long aim = job == null ? shortestAimMicros : job.kind.aimMicros();
-            if (at != null) slots.ended(at, e, aim * given);
+            if (at != null) {
+                slots.ended(at, e, aim * given);
+            }
             if (at != null && at.origin) {
                 originOutstanding = Math.max(0, originOutstanding - 1);
                 budget.ended(e.outcome(), e.latencyMicros());
             }
-            if (job != null) settle(job, at, e);
-            if (at != null && at.origin) held.release();
-            else if (at != null) held.unpark(at);
+            if (job != null) {
+                settle(job, at, e);
+            }
+            if (at != null && at.origin) {
+                held.release();
+            } else if (at != null) {
+                held.unpark(at);
+            }
         }
 
         private void settle(Job job, Cache at, AttemptEnded e) {
@@ -1017,16 +1233,23 @@
                 job.parkedFor = at;
                 job.shunned = at.failing > DOUBTFUL ? at : null;
                 // Danger: asking on at once after a full answer is a storm that fills every cache.
-                if (!maySend(job, at)) finish(job);
-                else if (at.origin) held.hold(job, held.writes);
-                else if (e.outcome() == Outcome.FULL) held.hold(job, held.parked);
-                else ask(job);
+                if (!maySend(job, at)) {
+                    finish(job);
+                } else if (at.origin) {
+                    held.hold(job, held.writes);
+                } else if (e.outcome() == Outcome.FULL) {
+                    held.hold(job, held.parked);
+                } else {
+                    ask(job);
+                }
             }
         }
 
         /** The final answer of a request that is not served: a refusal wherever that is allowed. */
         void finish(Job job) {
-            if (jobs.remove(job.request.id()) == null) return;
+            if (jobs.remove(job.request.id()) == null) {
+                return;
+            }
             held.remove(job);
             boolean harmless = job.ranMicros == NEVER
                     || job.kind.effect() == Effect.SAFE
@@ -1039,10 +1262,14 @@
 
         /** Calls off what waits at a silent cache, so that it can go elsewhere while there is time. */
         void abandon(Cache c) {
-            if (!settings.limits().mayCancel()) return;
-            for (Job job : jobs.values())
-                if (job.at == c && job.kind.effect() == Effect.SAFE)
+            if (!settings.limits().mayCancel()) {
+                return;
+            }
+            for (Job job : jobs.values()) {
+                if (job.at == c && job.kind.effect() == Effect.SAFE) {
                     out.accept(new Cancel(job.request.id(), job.attempts - 1));
+                }
+            }
         }
     }
 
@@ -1050,10 +1277,13 @@
     final class Membership {
         private final boolean asks = settings.membership() == Decisions.Membership.ASK;
         private boolean watching;
-        private long askMicros, waitMicros;
+        private long askMicros;
+        private long waitMicros;
 
         void tick() {
-            if (!asks || watching || now < askMicros) return;
+            if (!asks || watching || now < askMicros) {
+                return;
+            }
             watching = true; // until the call is said to have failed
             out.accept(new WatchServers(true));
         }
--- a/balancer/src/test/java/merlinstep/RulesTest.java
+++ b/balancer/src/test/java/merlinstep/RulesTest.java
@@ -497,7 +497,9 @@
         Timeline t = Timeline.with(0, 100, 3); // X is 100: a credit a second for each
         int fetched = 0;
         for (int i = 0; i < 20; i++) {
-            for (int r = 0; r < 4; r++) round(t, 100, 5 * i + r + 1, 2, SECOND / 2);
+            for (int r = 0; r < 4; r++) {
+                round(t, 100, 5 * i + r + 1, 2, SECOND / 2);
+            }
             assertTrue(
                     t.rules.ledger.contended,
                     "round " + i + " X " + t.rules.budget.effective() + " " + t.rules.peers.refresh());
@@ -669,7 +671,8 @@
         for (int i = 0; i < 20; i++) {
             fleet.add(Timeline.withDearMessages(i, 100, 3));
         }
-        int all = 0, most = 0;
+        int all = 0;
+        int most = 0;
         for (int step = 0; step < 200; step++) {
             int telling = 0;
             for (Timeline t : fleet) {
--- a/balancer/src/test/java/merlinstep/StoreLimitTest.java
+++ b/balancer/src/test/java/merlinstep/StoreLimitTest.java
@@ -40,7 +40,8 @@
 
     /** A second of {@code misses} reads of as many keys, at a store that takes {@code serviceMicros} for each. */
     private Second second(int misses, long serviceMicros) {
-        int answered = 0, quick = 0;
+        int answered = 0;
+        int quick = 0;
         for (int step = 0; step < 1_000_000 / STEP; step++) {
             int due = (step + 1) * misses * STEP / 1_000_000 - step * misses * STEP / 1_000_000;
             for (int i = 0; i < due; i++) {
@@ -96,7 +97,9 @@
         for (int s = 0; s < 10; s++) {
             second(200, 50_000); // the store takes 60 a second
         }
-        int answered = 0, quick = 0, least = Integer.MAX_VALUE;
+        int answered = 0;
+        int quick = 0;
+        int least = Integer.MAX_VALUE;
         for (int s = 0; s < 30; s++) {
             Second now = second(200, 50_000);
             answered += now.answered();
--- a/balancer/src/test/java/merlinstep/TierCreditsTest.java
+++ b/balancer/src/test/java/merlinstep/TierCreditsTest.java
@@ -66,7 +66,8 @@
         for (int i = 0; i < balancers; i++) {
             tier.add(dear ? Timeline.withDearMessages(i, balancers, 3) : Timeline.with(i, balancers, 3));
         }
-        double most = 0, before = allowance();
+        double most = 0;
+        double before = allowance();
         for (int period = 0; period < periods; period++) {
             fetched = 0;
             for (int step = 0; step < Timeline.SECOND / STEP; step++) {
