--- a/balancer/src/main/java/merlinstep/Rules.java
+++ b/balancer/src/main/java/merlinstep/Rules.java
@@ -16,56 +16,100 @@
 import merlinstep.Job.Waiting;
 
 /**
- * Every decision of the balancer; its interface is {@code Decisions.java}. It is DoWSS (docs/design.md): the
- * origin's allowance is dealt out in credits, one buys one fetch after a miss, other misses are held, keys go
- * to slots and slots to caches. Each part below owns its state; all share the event's time and sink.
+ * Implements the decision interface of {@code Decisions.java}: routes requests to caches by a slot map, and
+ * limits fetches from the origin by distributed credits (DoWSS, docs/design.md).
+ *
+ * <p>One credit pays for one fetch after a miss; misses without a credit are held. Each nested class owns the
+ * state of one concern; all share the time and the sink of the event being handled. Not safe for concurrent use.
  */
 final class Rules implements Decisions {
 
-    // Constants, with unit and reason; what can follow from settings or be observed is not among them.
-    static final long PERIOD_MICROS = 1_000_000; // T: quotas and the paper's evaluation go by the second
-    static final long MIN_SUBPERIOD_MICROS = 50_000; // a far round trip: nothing told is fresher
-    static final double AIM_MICROS = 750_000; // aim to which waits, gaps and trials below are fitted
-    static final double PEER_CPU_PART = 0.1; // part of the CPU allowance for reading peer messages
-    static final double PEER_MESSAGE_CPU_MICROS = 4; // what reading one costs, a guess not measured yet
-    static final double SPEED = 1e8; // V, micros of work a second: a hundred cores, so requests weigh a bit
-    static final int SILENT_PERIODS = 3; // a peer unheard so long is silent: two lost heartbeats
-    static final double FIRST_X_OF_QUOTA = 0.25; // first X, part of all quotas: misses are fewer
-    static final double GROWTH = 1.5; // of X a period, while credits bind and answers are quick
-    static final double CUT = 0.85; // X after a cut, of what was answered: the queue drains
-    static final double QUICK_LATENCY = 1.6; // times the least period mean: up to this X may grow
-    static final double TARGET_PART = 0.5; // of the shortest aim: the other half is the miss and the ways
-    static final double SAME = 0.8; // of what was out before a cut: with less than that it shows its effect
-    static final double UNTESTED = 2; // X at most, times that and one each: demand may double unheld
-    static final int NOISY = 8; // one in so many estimates is too low by chance alone, and would bind all
-    static final double EASING = 1.1; // of the least mean a period, till it is seen again: origins get slower
-    static final double FADING = 0.97; // of the most answered in time, a period of demand: half in 20 s
-    static final int SLOTS = 4096; // tens for each cache of a large fleet: they spread within some 15%
-    static final int RANKED = 12; // caches kept in order for a slot, and the widest spread of a key
-    static final double HOT_PART = 0.5; // of a mean cache's requests: a key with more is spread
-    static final long COUNT_HALF_LIFE_MICROS = 4_000_000; // some hundred requests at a small balancer
-    static final int COUNTERS = 2048; // a row: far more than keys that can be hot
-    static final double MISS_COST = 0.2; // work of a miss against a hit's, no more than a guess
-    static final double FIRST_LIMIT = 16; // attempts out at a cache until its answers tell
-    static final long LOADS_MICROS = 200_000; // between messages in service: an answer's time, as queues move
-    static final double TELLING_PART = 0.01; // of the worth: what messages may cost; loads bring more
-    static final double SPILL = 1.25; // of the mean load: a cache with more gives some of its slots to others
-    static final double SPILL_SLACK = 2; // attempts above that, as few are out in quiet times
-    static final double LIMIT_CUT = 0.85; // of that limit after an answer slower than half its aim
-    static final int SILENT_ATTEMPTS = 3; // unanswered ones that put a cache in doubt: not bad luck
-    static final double SILENT_LATENCIES = 3; // mean latencies of silence that prove it
-    static final double FAILING = 0.5; // errors among its answers that put a cache out of use: most fail
-    static final double DOUBTFUL = 0.25; // a failed request goes to another cache; below, its value is there
-    static final int GIVEN_SEEN = 64; // requests over which what clients give is taken: few are in a hurry
-    static final int ANSWERS_SEEN = 8; // answers over which that part is taken: a second's at a small cache
-    static final double DOUBTFUL_LATENCIES = 1.25; // mean latencies that a server in doubt is given at least
-    static final double MOST_NEED = 0.75; // of the shortest aim: more, and none could show that less will do
-    static final double FALL_PART = 0.5; // of the multiple at which a cold cache falls, for all balancers
-    static final long TRIAL_MICROS = 500_000; // between trials of a server out of use, doubling
-    static final double TRIAL_CROWD = 8; // balancers whose trials a cold cache bears; more try less often
-    static final long MAX_TRIAL_MICROS = 4_000_000; // as long as a restart is noticed late
-    static final long ASK_MICROS = 500_000; // first pause after a failed list call: it may be that one
-    static final long MOST_ASK_MICROS = 2_000_000; // and the longest: what is listed counts as told in 6 s
+    /** Length of a period (T of the paper); quotas count per second. */
+    static final long PERIOD_MICROS = 1_000_000;
+    /** A round trip between zones: no peer state is fresher than that. */
+    static final long MIN_SUBPERIOD_MICROS = 50_000;
+    /** The aim at which times apply as given here; shorter aims scale them down. */
+    static final double AIM_MICROS = 750_000;
+    /** Fraction of the CPU allowance that reading peer messages may use. */
+    static final double PEER_CPU_PART = 0.1;
+
+    static final double PEER_MESSAGE_CPU_MICROS = 4;
+    /** V of equation 6: work in microseconds that is done in a second. */
+    static final double SPEED = 1e8;
+    /** Periods without a message after which a peer counts as silent; tolerates two lost heartbeats. */
+    static final int SILENT_PERIODS = 3;
+    /** Initial X as a fraction of the sum of the quotas. */
+    static final double FIRST_X_OF_QUOTA = 0.25;
+    /** Largest growth of X in a period, and of the delay between list calls that fail. */
+    static final double GROWTH = 1.5;
+    /** X after a cut, relative to the rate that was answered; below 1 so that the origin's queue drains. */
+    static final double CUT = 0.85;
+    /** X grows while the mean latency is below this multiple of the lowest one. */
+    static final double QUICK_LATENCY = 1.6;
+    /** Fraction of the shortest aim that a fetch may take; the rest is left for the miss before it. */
+    static final double TARGET_PART = 0.5;
+    /** Outstanding fetches relative to those before a cut, below which the cut has taken effect. */
+    static final double SAME = 0.8;
+    /** Bound of X relative to the best answered rate, while demand has not tested it. */
+    static final double UNTESTED = 2;
+    /** One in this many of the peers' estimates is ignored as too low by chance. */
+    static final int NOISY = 8;
+    /** Growth per period of the lowest mean latency, so that it follows an origin that has become slower. */
+    static final double EASING = 1.1;
+    /** Decay per tested period of the best answered rate. */
+    static final double FADING = 0.97;
+
+    static final int SLOTS = 4096;
+    /** Caches ranked for each slot; also the most caches that serve one key. */
+    static final int RANKED = 12;
+    /** A key with more than this part of a mean cache's requests is served by several caches. */
+    static final double HOT_PART = 0.5;
+
+    static final long COUNT_HALF_LIFE_MICROS = 4_000_000;
+    /** Counters in each row of the key sketch; a power of two. */
+    static final int COUNTERS = 2048;
+    /** Work of answering a miss relative to a hit. */
+    static final double MISS_COST = 0.2;
+    /** Attempts that may be outstanding at a cache before its answers have adjusted the limit. */
+    static final double FIRST_LIMIT = 16;
+    /** Least time between messages while there are requests. */
+    static final long LOADS_MICROS = 200_000;
+    /** Fraction of the worth of the requests that peer messages may cost. */
+    static final double TELLING_PART = 0.01;
+    /** Multiple of the mean load above which a cache gives up some of its slots. */
+    static final double SPILL = 1.25;
+    /** Attempts added to that bound, so that small numbers do not move slots. */
+    static final double SPILL_SLACK = 2;
+    /** Factor on a cache's concurrency limit after an answer slower than half its aim. */
+    static final double LIMIT_CUT = 0.85;
+    /** Consecutive unanswered attempts after which a cache may be suspected. */
+    static final int SILENT_ATTEMPTS = 3;
+    /** Multiple of the mean latency without an answer after which a cache is suspected. */
+    static final double SILENT_LATENCIES = 3;
+    /** Error rate above which a cache is taken out of use. */
+    static final double FAILING = 0.5;
+    /** Error rate up to which a failed request may return to the same cache, which may hold its value. */
+    static final double DOUBTFUL = 0.25;
+    /** Requests over which the clients' own deadlines are averaged. */
+    static final int GIVEN_SEEN = 64;
+    /** Answers over which a cache's error rate is averaged. */
+    static final int ANSWERS_SEEN = 8;
+    /** Least timeout of an attempt at a suspected server, in mean latencies. */
+    static final double DOUBTFUL_LATENCIES = 1.25;
+    /** Bound of the expected answer time relative to the shortest aim, so that some reads are still admitted. */
+    static final double MOST_NEED = 0.75;
+    /** Fraction of the load at which a cold cache falls that all balancers together may send it. */
+    static final double FALL_PART = 0.5;
+    /** First delay between trials of a server out of use; it doubles. */
+    static final long TRIAL_MICROS = 500_000;
+    /** Balancers whose trials a cold cache can take; with more of them each tries less often. */
+    static final double TRIAL_CROWD = 8;
+
+    static final long MAX_TRIAL_MICROS = 4_000_000;
+    /** First delay after a failed list call. */
+    static final long ASK_MICROS = 500_000;
+    /** Longest delay after failed list calls. */
+    static final long MOST_ASK_MICROS = 2_000_000;
 
     private static final long NEVER = Long.MIN_VALUE;
     private static final long TICK = 1;
@@ -240,7 +284,7 @@
                 queued += j == me ? 0 : f.queue();
                 spent += f.period() == period ? f.fetched() : 0;
                 outstanding += f.outstanding();
-                idle += f.queue() == 0 ? 1 : 0; // what it holds is not out, and others can't spend it
+                idle += f.queue() == 0 ? 1 : 0; // credits that an idle peer keeps are not outstanding
                 dry |= f.queue() > 0 && f.credits() == 0;
             }
             // Whole credits of fractional ones: an X under one credit a period still buys one now and then.
@@ -471,7 +515,7 @@
             long gap = !changed ? PERIOD_MICROS : pressed ? ledger.subperiodMicros / 2 : calm;
             // Danger: each hears all others, and what a few tell freely costs a hundred a tenth of the worth.
             double cost = (all.length - 1) * settings.prices().peer() * told / Loads.FULL_MESSAGE;
-            double requests = Math.max(1, slots.counts.total()) / (1.5 * COUNT_HALF_LIFE_MICROS); // a micro
+            double requests = Math.max(1, slots.counts.total()) / (1.5 * COUNT_HALF_LIFE_MICROS);
             double dear = Math.min(PERIOD_MICROS, cost / (TELLING_PART * requests));
             gap = Math.max(gap, (long) dear);
             if (me.heardMicros != NEVER && now < me.heardMicros + gap) {
