--- a/balancer/src/main/java/merlinstep/Rules.java
+++ b/balancer/src/main/java/merlinstep/Rules.java
@@ -20,7 +20,7 @@
  * limits fetches from the origin by distributed credits (DoWSS, docs/design.md).
  *
  * <p>One credit pays for one fetch after a miss; misses without a credit are held. Each nested class owns the
- * state of one concern; all share the time and the sink of the event being handled. Not safe for concurrent use.
+ * state of one concern; all share the time and the sink of the event being handled. Not thread-safe.
  */
 final class Rules implements Decisions {
 
@@ -96,7 +96,7 @@
     static final int ANSWERS_SEEN = 8;
     /** Least timeout of an attempt at a suspected server, in mean latencies. */
     static final double DOUBTFUL_LATENCIES = 1.25;
-    /** Bound of the expected answer time relative to the shortest aim, so that some reads are still admitted. */
+    /** Bound of the expected answer time relative to the shortest aim; some reads are always admitted. */
     static final double MOST_NEED = 0.75;
     /** Fraction of the load at which a cold cache falls that all balancers together may send it. */
     static final double FALL_PART = 0.5;
