--- a/balancer/src/main/java/merlinstep/Cache.java
+++ b/balancer/src/main/java/merlinstep/Cache.java
@@ -5,27 +5,27 @@
     final long id;
     final boolean origin;
     String kind;
-    Area area;
+    Zone zone;
     int cell;
     int outstanding;
-    int elsewhere;
+    int outstandingElsewhere;
     int unanswered;
     boolean running;
     boolean suspect;
     double size;
-    double sent;
-    double taken;
+    double recentSent;
+    double recentWork;
     double tokens;
-    double failing;
+    double errorRate;
     double part = 1;
-    double limit = Rules.FIRST_LIMIT;
-    long gapMicros;
-    long closedUntilMicros;
+    double concurrencyLimit = Rules.INITIAL_CONCURRENCY_LIMIT;
+    long waitMicros;
+    long backoffUntilMicros;
     long startedMicros;
-    long trialMicros;
-    long quietSinceMicros;
-    long trialGapMicros = Rules.TRIAL_MICROS;
-    long limitCutMicros = Long.MIN_VALUE;
+    long nextTrialMicros;
+    long silentSinceMicros;
+    long trialGapMicros = Rules.TRIAL_GAP_MICROS;
+    long nextLimitCutMicros = Long.MIN_VALUE;
 
     Cache(long id, boolean origin) {
         this.id = id;
@@ -33,67 +33,67 @@
     }
 
     /** Takes over what the list says. */
-    void listed(Decisions.Server server, Area zone) {
+    void update(Decisions.Server server, Zone newZone) {
         kind = server.kind() == null ? "" : server.kind();
-        area = zone;
+        zone = newZone;
         cell = server.cell();
         size = server.size();
         unanswered = server.startedMicros() == startedMicros ? unanswered : 0;
-        failing = server.startedMicros() == startedMicros ? failing : 0;
+        errorRate = server.startedMicros() == startedMicros ? errorRate : 0;
         startedMicros = server.startedMicros();
         running = server.state() == Decisions.State.RUNNING;
     }
 
-    void sent(long nowMicros) {
-        sent++;
+    void recordSent(long nowMicros) {
+        recentSent++;
         tokens--;
         outstanding++;
         if (unanswered++ == 0) {
-            quietSinceMicros = nowMicros;
+            silentSinceMicros = nowMicros;
         }
     }
 
     /** It answered something, so it and the way to it work. */
-    void heard(long nowMicros) {
+    void recordAnswer(long nowMicros) {
         unanswered = 0;
-        quietSinceMicros = nowMicros;
-        area.heardMicros = nowMicros;
-        area.down = false;
-        if (failing < Rules.DOUBTFUL) {
+        silentSinceMicros = nowMicros;
+        zone.heardMicros = nowMicros;
+        zone.down = false;
+        if (errorRate < Rules.HEALTHY_ERROR_RATE) {
             restore();
         }
     }
 
     /** What is out here from all balancers, as far as they told. */
     int load() {
-        return outstanding + elsewhere;
+        return outstanding + outstandingElsewhere;
     }
 
     /** Moves the part of its answers that are errors. */
-    void answered(boolean failed) {
-        failing += ((failed ? 1 : 0) - failing) / Rules.ANSWERS_SEEN;
+    void updateErrorRate(boolean failed) {
+        errorRate += ((failed ? 1 : 0) - errorRate) / Rules.ERROR_RATE_WINDOW_ANSWERS;
     }
 
-    void suspect() {
-        area.suspects += suspect ? 0 : 1;
+    void markSuspect() {
+        zone.suspects += suspect ? 0 : 1;
         suspect = true;
     }
 
     void restore() {
         if (suspect) {
             suspect = false;
-            area.suspects--;
-            trialGapMicros = Rules.TRIAL_MICROS;
+            zone.suspects--;
+            trialGapMicros = Rules.TRIAL_GAP_MICROS;
         }
     }
 
     /** A zone as seen from here; {@code down} while nothing in it can be reached. */
-    static final class Area {
+    static final class Zone {
         /** Half of the least, so that a difference from it does not overflow. */
         long heardMicros = Long.MIN_VALUE / 2;
 
         int suspects;
         boolean down;
-        long trialMicros;
+        long nextTrialMicros;
     }
 }
--- a/balancer/src/main/java/merlinstep/Job.java
+++ b/balancer/src/main/java/merlinstep/Job.java
@@ -8,61 +8,61 @@
 /** A request that is owed an answer. */
 final class Job {
     final Request request;
-    final RequestClass kind;
+    final RequestClass requestClass;
     final long key;
     final long arrivedMicros;
     final double worth;
-    long inTimeUntilMicros;
+    long onTimeMicros;
     long usefulUntilMicros;
     long sentMicros;
-    long ranMicros = Long.MIN_VALUE;
+    long firstRunMicros = Long.MIN_VALUE;
     int attempts;
     int spread = 1;
-    boolean askedAgain;
+    boolean recheckedCache;
     boolean served;
-    Cache at;
-    Cache ranAt;
-    Cache missedAt;
-    Cache home;
-    Cache parkedFor;
-    Cache shunned;
-    Waiting waiting;
+    Cache currentServer;
+    Cache firstRunAt;
+    Cache missedCache;
+    Cache preferredCache;
+    Cache awaited;
+    Cache avoidedCache;
+    HeldMiss heldMiss;
 
-    Job(Request request, RequestClass kind, long now) {
+    Job(Request request, RequestClass requestClass, long now) {
         this.request = request;
-        this.kind = kind;
-        worth = kind.worth();
+        this.requestClass = requestClass;
+        worth = requestClass.worth();
         key = request.hasKey() ? request.key() : Hash.mix(request.id().hashCode());
         arrivedMicros = now;
     }
 
     /** What an answer at a time is worth. */
     double worthAt(long micros) {
-        return micros <= inTimeUntilMicros ? worth : worth * kind.lateWorth();
+        return micros <= onTimeMicros ? worth : worth * requestClass.lateWorth();
     }
 
     /** A refusal in the later half of the time costs the client that wait for nothing, unless something was tried. */
-    long heldUntilMicros() {
+    long holdDeadlineMicros() {
         long half = arrivedMicros + (request.deadlineMicros() - arrivedMicros) / 2;
         return attempts == 0 ? Math.min(half, usefulUntilMicros) : usefulUntilMicros;
     }
 
     /** Requests that wait for one key; at most one of them, the leader, fetches it or asks the cache again. */
-    static final class Waiting {
+    static final class HeldMiss {
         final long key;
         final List<Job> jobs = new ArrayList<>();
         Job leader;
-        long sinceMicros;
-        long readyMicros;
+        long heldSinceMicros;
+        long eligibleMicros;
 
-        Waiting(long key, long now) {
+        HeldMiss(long key, long now) {
             this.key = key;
-            sinceMicros = now;
-            readyMicros = now;
+            heldSinceMicros = now;
+            eligibleMicros = now;
         }
 
         /** Whether nobody fetches it now. */
-        boolean free() {
+        boolean needsFetch() {
             return leader == null;
         }
 
@@ -73,16 +73,16 @@
 
         Job mostUrgent() {
             Job first = jobs.get(0);
-            for (Job j : jobs) {
-                first = j.usefulUntilMicros < first.usefulUntilMicros ? j : first;
+            for (Job job : jobs) {
+                first = job.usefulUntilMicros < first.usefulUntilMicros ? job : first;
             }
             return first;
         }
 
-        double worth() {
+        double totalWorth() {
             double sum = 0;
-            for (Job j : jobs) {
-                sum += j.worth;
+            for (Job job : jobs) {
+                sum += job.worth;
             }
             return sum;
         }
--- a/balancer/src/main/java/merlinstep/KeyCounts.java
+++ b/balancer/src/main/java/merlinstep/KeyCounts.java
@@ -16,12 +16,12 @@
     /** Counts one more request for the key, and gives the part of all requests that others for it were. */
     double add(long key) {
         long hash = Hash.mix(key ^ 0x5bd1e995L);
-        int a = (int) (hash & rowSize - 1);
-        int b = rowSize + (int) (hash >>> 20 & rowSize - 1);
-        counters[a]++;
-        counters[b]++;
+        int first = (int) (hash & rowSize - 1);
+        int second = rowSize + (int) (hash >>> 20 & rowSize - 1);
+        counters[first]++;
+        counters[second]++;
         total++;
-        return (Math.min(counters[a], counters[b]) - 1) / total;
+        return (Math.min(counters[first], counters[second]) - 1) / total;
     }
 
     /** All that was counted, less what was forgotten. */
--- a/balancer/src/main/java/merlinstep/Peer.java
+++ b/balancer/src/main/java/merlinstep/Peer.java
@@ -2,32 +2,32 @@
 
 /** A balancer as last heard; for this one, what it last told. */
 final class Peer {
-    Figures said = Figures.NONE;
+    PeerStatus state = PeerStatus.NONE;
     /** What was said when its answers were last counted. */
-    Figures counted = Figures.NONE;
+    PeerStatus countedState = PeerStatus.NONE;
 
     boolean fresh;
     long heardMicros = Long.MIN_VALUE;
     int incarnation;
     int sequence;
     /** What it last told to have out at each cache. */
-    byte[] loads = Loads.NONE;
+    byte[] loads = CacheLoads.NONE;
 
     /** Its estimate of X; no bound while it is silent or has learnt none. */
     double allowance() {
-        return fresh && said.x() > 0 ? said.x() : Double.MAX_VALUE;
+        return fresh && state.allowance() > 0 ? state.allowance() : Double.MAX_VALUE;
     }
 
     /** Takes over a message; the counts of a restarted balancer begin anew. */
-    void hear(int sender, int number, long nowMicros, Figures figures, byte[] out) {
-        if (heardMicros == Long.MIN_VALUE || sender != incarnation) {
-            counted = figures;
+    void store(int newIncarnation, int newSequence, long nowMicros, PeerStatus newState, byte[] newLoads) {
+        if (heardMicros == Long.MIN_VALUE || newIncarnation != incarnation) {
+            countedState = newState;
         }
-        incarnation = sender;
-        sequence = number;
+        incarnation = newIncarnation;
+        sequence = newSequence;
         heardMicros = nowMicros;
         fresh = true;
-        said = figures;
-        loads = out;
+        state = newState;
+        loads = newLoads;
     }
 }
--- a/balancer/src/main/java/merlinstep/Rules.java
+++ b/balancer/src/main/java/merlinstep/Rules.java
@@ -12,8 +12,8 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.Set;
-import merlinstep.Cache.Area;
-import merlinstep.Job.Waiting;
+import merlinstep.Cache.Zone;
+import merlinstep.Job.HeldMiss;
 
 /**
  * Implements the decision interface of {@code Decisions.java}: routes requests to caches by a slot map, and
@@ -29,110 +29,110 @@
     /** A round trip between zones: no peer state is fresher than that. */
     static final long MIN_SUBPERIOD_MICROS = 50_000;
     /** The aim at which times apply as given here; shorter aims scale them down. */
-    static final double AIM_MICROS = 750_000;
+    static final double REFERENCE_AIM_MICROS = 750_000;
     /** Fraction of the CPU allowance that reading peer messages may use. */
-    static final double PEER_CPU_PART = 0.1;
+    static final double PEER_CPU_FRACTION = 0.1;
 
     static final double PEER_MESSAGE_CPU_MICROS = 4;
     /** V of equation 6: work in microseconds that is done in a second. */
-    static final double SPEED = 1e8;
+    static final double WORK_MICROS_PER_SEC = 1e8;
     /** Periods without a message after which a peer counts as silent; tolerates two lost heartbeats. */
-    static final int SILENT_PERIODS = 3;
+    static final int PEER_TIMEOUT_PERIODS = 3;
     /** Initial X as a fraction of the sum of the quotas. */
-    static final double FIRST_X_OF_QUOTA = 0.25;
+    static final double INITIAL_ALLOWANCE_FRACTION = 0.25;
     /** Largest growth of X in a period, and of the delay between list calls that fail. */
     static final double GROWTH = 1.5;
     /** X after a cut, relative to the rate that was answered; below 1 so that the origin's queue drains. */
-    static final double CUT = 0.85;
+    static final double CUT_FACTOR = 0.85;
     /** X grows while the mean latency is below this multiple of the lowest one. */
-    static final double QUICK_LATENCY = 1.6;
+    static final double LATENCY_MULTIPLE = 1.6;
     /** Fraction of the shortest aim that a fetch may take; the rest is left for the miss before it. */
-    static final double TARGET_PART = 0.5;
+    static final double AIM_FRACTION = 0.5;
     /** Outstanding fetches relative to those before a cut, below which the cut has taken effect. */
-    static final double SAME = 0.8;
+    static final double CUT_EFFECT_RATIO = 0.8;
     /** Bound of X relative to the best answered rate, while demand has not tested it. */
-    static final double UNTESTED = 2;
+    static final double UNTESTED_ALLOWANCE_MULTIPLE = 2;
     /** One in this many of the peers' estimates is ignored as too low by chance. */
-    static final int NOISY = 8;
+    static final int OUTLIER_DIVISOR = 8;
     /** Growth per period of the lowest mean latency, so that it follows an origin that has become slower. */
-    static final double EASING = 1.1;
+    static final double MIN_LATENCY_GROWTH = 1.1;
     /** Decay per tested period of the best answered rate. */
-    static final double FADING = 0.97;
+    static final double BEST_RATE_DECAY = 0.97;
 
     static final int SLOTS = 4096;
     /** Caches ranked for each slot; also the most caches that serve one key. */
-    static final int RANKED = 12;
+    static final int SLOT_CACHES = 12;
     /** A key with more than this part of a mean cache's requests is served by several caches. */
     static final double HOT_PART = 0.5;
 
     static final long COUNT_HALF_LIFE_MICROS = 4_000_000;
     /** Counters in each row of the key sketch; a power of two. */
-    static final int COUNTERS = 2048;
+    static final int COUNTERS_PER_ROW = 2048;
     /** Work of answering a miss relative to a hit. */
     static final double MISS_COST = 0.2;
     /** Attempts that may be outstanding at a cache before its answers have adjusted the limit. */
-    static final double FIRST_LIMIT = 16;
+    static final double INITIAL_CONCURRENCY_LIMIT = 16;
     /** Least time between messages while there are requests. */
-    static final long LOADS_MICROS = 200_000;
+    static final long LOAD_MESSAGE_GAP_MICROS = 200_000;
     /** Fraction of the worth of the requests that peer messages may cost. */
-    static final double TELLING_PART = 0.01;
+    static final double MESSAGE_COST_FRACTION = 0.01;
     /** Multiple of the mean load above which a cache gives up some of its slots. */
-    static final double SPILL = 1.25;
+    static final double OVERLOAD_MULTIPLE = 1.25;
     /** Attempts added to that bound, so that small numbers do not move slots. */
-    static final double SPILL_SLACK = 2;
+    static final double OVERLOAD_SLACK = 2;
     /** Factor on a cache's concurrency limit after an answer slower than half its aim. */
-    static final double LIMIT_CUT = 0.85;
+    static final double LIMIT_CUT_FACTOR = 0.85;
     /** Consecutive unanswered attempts after which a cache may be suspected. */
-    static final int SILENT_ATTEMPTS = 3;
+    static final int SUSPECT_UNANSWERED = 3;
     /** Multiple of the mean latency without an answer after which a cache is suspected. */
-    static final double SILENT_LATENCIES = 3;
+    static final double SILENCE_LATENCY_MULTIPLE = 3;
     /** Error rate above which a cache is taken out of use. */
-    static final double FAILING = 0.5;
+    static final double SUSPECT_ERROR_RATE = 0.5;
     /** Error rate up to which a failed request may return to the same cache, which may hold its value. */
-    static final double DOUBTFUL = 0.25;
+    static final double HEALTHY_ERROR_RATE = 0.25;
     /** Requests over which the clients' own deadlines are averaged. */
-    static final int GIVEN_SEEN = 64;
+    static final int PATIENCE_WINDOW_REQUESTS = 64;
     /** Answers over which a cache's error rate is averaged. */
-    static final int ANSWERS_SEEN = 8;
+    static final int ERROR_RATE_WINDOW_ANSWERS = 8;
     /** Least timeout of an attempt at a suspected server, in mean latencies. */
-    static final double DOUBTFUL_LATENCIES = 1.25;
+    static final double SUSPECT_TIMEOUT_MULTIPLE = 1.25;
     /** Bound of the expected answer time relative to the shortest aim; some reads are always admitted. */
-    static final double MOST_NEED = 0.75;
+    static final double MAX_AIM_SHARE = 0.75;
     /** Fraction of the load at which a cold cache falls that all balancers together may send it. */
-    static final double FALL_PART = 0.5;
+    static final double COLD_LOAD_FRACTION = 0.5;
     /** First delay between trials of a server out of use; it doubles. */
-    static final long TRIAL_MICROS = 500_000;
+    static final long TRIAL_GAP_MICROS = 500_000;
     /** Balancers whose trials a cold cache can take; with more of them each tries less often. */
-    static final double TRIAL_CROWD = 8;
+    static final double TRIAL_PEERS = 8;
 
-    static final long MAX_TRIAL_MICROS = 4_000_000;
+    static final long MAX_TRIAL_GAP_MICROS = 4_000_000;
     /** First delay after a failed list call. */
-    static final long ASK_MICROS = 500_000;
+    static final long MIN_RETRY_MICROS = 500_000;
     /** Longest delay after failed list calls. */
-    static final long MOST_ASK_MICROS = 2_000_000;
+    static final long MAX_RETRY_MICROS = 2_000_000;
 
     private static final long NEVER = Long.MIN_VALUE;
-    private static final long TICK = 1;
-    private static final double GOLDEN = 0.6180339887498949;
+    private static final long TICK_TIMER_TOKEN = 1;
+    private static final double GOLDEN_RATIO = 0.6180339887498949;
 
     private final Settings settings;
     private final Random random;
     private final Map<String, RequestClass> classes = new HashMap<>();
     private final long shortestAimMicros;
     /** Aims against those that the times above were chosen for: shorter ones leave less time to find out. */
-    private final double pace;
+    private final double scale;
 
-    private final boolean aside;
+    private final boolean cacheAside;
     private final int maxAttempts;
     private Sink out;
     private boolean started;
     private long now;
-    private long logAllowedMicros;
+    private long nextLogMicros;
     final Ledger ledger;
     final Budget budget;
     final Peers peers;
-    final Slots slots;
-    final Held held;
+    final SlotMap slots;
+    final HeldRequests held;
     final Attempts attempts;
     final Membership membership;
 
@@ -142,20 +142,22 @@
         }
         this.settings = settings;
         random = new Random(settings.seed());
-        long shortest = Long.MAX_VALUE;
-        for (RequestClass c : settings.classes()) {
-            classes.put(c.name(), c);
-            shortest = Math.min(shortest, c.aimMicros() > 0 ? c.aimMicros() : c.deadlineMicros());
-        }
-        shortestAimMicros = shortest == Long.MAX_VALUE ? PERIOD_MICROS : shortest;
-        pace = Math.min(1, shortestAimMicros / AIM_MICROS);
-        aside = settings.origin().mode() == Mode.ASIDE;
+        long shortestMicros = Long.MAX_VALUE;
+        for (RequestClass requestClass : settings.classes()) {
+            classes.put(requestClass.name(), requestClass);
+            shortestMicros = Math.min(
+                    shortestMicros,
+                    requestClass.aimMicros() > 0 ? requestClass.aimMicros() : requestClass.deadlineMicros());
+        }
+        shortestAimMicros = shortestMicros == Long.MAX_VALUE ? PERIOD_MICROS : shortestMicros;
+        scale = Math.min(1, shortestAimMicros / REFERENCE_AIM_MICROS);
+        cacheAside = settings.origin().mode() == Mode.ASIDE;
         maxAttempts = settings.limits().maxAttempts();
         ledger = new Ledger();
         budget = new Budget();
         peers = new Peers();
-        slots = new Slots();
-        held = new Held();
+        slots = new SlotMap();
+        held = new HeldRequests();
         attempts = new Attempts();
         membership = new Membership();
     }
@@ -167,37 +169,37 @@
         if (!started) {
             started = true;
             ledger.periodStartMicros = now;
-            ledger.tick();
-            membership.askMicros = now + (long) (random.nextDouble() * PERIOD_MICROS);
+            ledger.advance();
+            membership.nextWatchMicros = now + (long) (random.nextDouble() * PERIOD_MICROS);
         }
         if (event instanceof AttemptEnded e) {
-            attempts.ended(e);
+            attempts.complete(e);
         } else if (event instanceof Request e) {
-            attempts.arrived(e);
-        } else if (event instanceof TimerFired e && e.token() == TICK) {
-            ledger.tick();
+            attempts.admit(e);
+        } else if (event instanceof TimerFired e && e.token() == TICK_TIMER_TOKEN) {
+            ledger.advance();
             slots.tick();
             held.tick();
-            peers.tell();
+            peers.sendIfDue();
             membership.tick();
         } else if (event instanceof PeerMessage e) {
-            peers.heard(e.from(), e.content());
+            peers.receive(e.from(), e.content());
         } else if (event instanceof RequestGone e) {
             Job job = attempts.jobs.remove(e.request());
             if (job != null) {
                 held.remove(job);
             }
         } else if (event instanceof ServerList e) {
-            membership.listed(e);
+            membership.applyList(e);
         }
     }
 
     /** One line a second at most: a flood of lines hides the one that matters. */
     private void log(String text) {
-        if (now < logAllowedMicros) {
+        if (now < nextLogMicros) {
             return;
         }
-        logAllowedMicros = now + PERIOD_MICROS;
+        nextLogMicros = now + PERIOD_MICROS;
         out.accept(new Log(text));
     }
 
@@ -211,32 +213,32 @@
         private long periodStartMicros;
         private int subperiod;
         private int credits;
-        private int kept;
+        private int savedCredits;
         private int outstandingCap;
-        private boolean bound;
+        private boolean allowanceBound;
 
         Ledger() {
             double cpu = settings.limits().cpuMicrosPerSecond();
             // With B balancers each reads B - 1 messages a subperiod, so that it grows with B.
-            double each = cpu > 0 ? 1e6 * PEER_MESSAGE_CPU_MICROS / (PEER_CPU_PART * cpu) : 0;
-            double micros = Math.max(each * (settings.balancers() - 1), pace * MIN_SUBPERIOD_MICROS);
-            subperiods = Math.max(2, (int) (PERIOD_MICROS / Math.max(micros, settings.tickMicros())));
+            double readMicros = cpu > 0 ? 1e6 * PEER_MESSAGE_CPU_MICROS / (PEER_CPU_FRACTION * cpu) : 0;
+            double min = Math.max(readMicros * (settings.balancers() - 1), scale * MIN_SUBPERIOD_MICROS);
+            subperiods = Math.max(2, (int) (PERIOD_MICROS / Math.max(min, settings.tickMicros())));
             subperiodMicros = PERIOD_MICROS / subperiods;
         }
 
         /** Moves on to the present subperiod; a late tick skips what it missed. */
-        void tick() {
+        void advance() {
             while (now - periodStartMicros >= PERIOD_MICROS) {
                 periodStartMicros += PERIOD_MICROS;
-                budget.endOfPeriod(bound);
-                bound = false;
+                budget.endPeriod(allowanceBound);
+                allowanceBound = false;
                 period = period + 1 & 0xffff;
                 fetched = 0;
             }
             subperiod = (int) Math.min(subperiods - 1, (now - periodStartMicros) / subperiodMicros);
-            deal();
+            assignCredits();
             long next = periodStartMicros + (subperiod + 1) * subperiodMicros - now;
-            out.accept(new SetTimer(TICK, next > 0 ? next : subperiodMicros));
+            out.accept(new SetTimer(TICK_TIMER_TOKEN, next > 0 ? next : subperiodMicros));
         }
 
         int positionMillis() {
@@ -247,7 +249,7 @@
          * Takes over the phase of the lowest-numbered peer heard: that needs no common clock. Danger: where
          * its word of a new period came first, the old one ended unseen and taught nothing; so ticks end it.
          */
-        void follow(int peerPeriod, int positionMillis) {
+        void followPhase(int peerPeriod, int positionMillis) {
             long position = positionMillis * 1000L;
             long ahead = (short) (peerPeriod - period) * PERIOD_MICROS + position - (now - periodStartMicros);
             if (Math.abs(ahead) <= subperiodMicros / 2) {
@@ -262,107 +264,111 @@
             }
         }
 
-        private void deal() {
-            int b = settings.balancers();
-            int me = settings.index();
-            double x = budget.effective() * peers.refresh() / b;
-            double[] weights = new double[b];
-            int[] draws = new int[b];
+        private void assignCredits() {
+            int balancers = settings.balancers();
+            int self = settings.index();
+            double allowed = budget.effectiveAllowance() * peers.refreshAndCount() / balancers;
+            double[] weights = new double[balancers];
+            int[] draws = new int[balancers];
             int queued = held.queued();
-            int spent = 0;
+            int fetchedByAll = 0;
             int outstanding = 0;
             int idle = 0;
-            boolean dry = false;
-            boolean before = contended;
-            for (int j = 0; j < b; j++) {
-                Figures f = peers.all[j].said;
-                if (!peers.all[j].fresh) {
+            boolean outOfCredits = false;
+            boolean wasContended = contended;
+            for (int i = 0; i < balancers; i++) {
+                PeerStatus status = peers.all[i].state;
+                if (!peers.all[i].fresh) {
                     continue; // its even share stays aside
                 }
-                weights[j] = f.queue() == 0 ? weight(1) : f.weight();
-                draws[j] = f.draw();
-                queued += j == me ? 0 : f.queue();
-                spent += f.period() == period ? f.fetched() : 0;
-                outstanding += f.outstanding();
-                idle += f.queue() == 0 ? 1 : 0; // credits that an idle peer keeps are not outstanding
-                dry |= f.queue() > 0 && f.credits() == 0;
+                weights[i] = status.queue() == 0 ? weight(1) : status.weight();
+                draws[i] = status.draw();
+                queued += i == self ? 0 : status.queue();
+                fetchedByAll += status.period() == period ? status.fetched() : 0;
+                outstanding += status.outstanding();
+                idle += status.queue() == 0 ? 1 : 0; // credits that an idle peer keeps are not outstanding
+                outOfCredits |= status.queue() > 0 && status.credits() == 0;
             }
             // Whole credits of fractional ones: an X under one credit a period still buys one now and then.
-            long total = (long) Math.floor(x * (period + 1)) - (long) Math.floor(x * period);
+            long total = (long) Math.floor(allowed * (period + 1)) - (long) Math.floor(allowed * period);
             // Danger: a slow origin would get credits long before it fails; what it holds counts.
-            double window = x * Math.max(budget.targetMicros(), subperiodMicros) / 1e6;
-            long left = Math.max(0, total - spent);
+            double window = allowed * Math.max(budget.targetLatencyMicros(), subperiodMicros) / 1e6;
+            long remaining = Math.max(0, total - fetchedByAll);
             long room = (long) Math.ceil(window) + idle - outstanding;
-            long d = Math.max(0, Math.min(left, room));
-            double pace = x / subperiods;
-            contended = queued > Math.max(Math.ceil(pace), b);
-            bound |= queued > 0 && (contended || d == 0 || dry);
-            boolean even = !contended && (subperiod == 0 || queued == 0);
-            if (even) {
-                for (int j = 0; j < b; j++) {
-                    weights[j] = peers.all[j].fresh ? 1 : 0;
+            long distributable = Math.max(0, Math.min(remaining, room));
+            double perSubperiod = allowed / subperiods;
+            contended = queued > Math.max(Math.ceil(perSubperiod), balancers);
+            allowanceBound |= queued > 0 && (contended || distributable == 0 || outOfCredits);
+            boolean splitEvenly = !contended && (subperiod == 0 || queued == 0);
+            if (splitEvenly) {
+                for (int i = 0; i < balancers; i++) {
+                    weights[i] = peers.all[i].fresh ? 1 : 0;
                 }
             }
             long step = (long) period * subperiods + subperiod;
-            int share = contended ? contention(d, pace, weights, me, step) : share(left, weights, draws, me);
+            int share = contended
+                    ? contendedShare(distributable, perSubperiod, weights, self, step)
+                    : share(remaining, weights, draws, self);
             double sum = Arrays.stream(weights).sum();
-            outstandingCap = (int) Math.max(2, Math.ceil(sum > 0 ? window * weights[me] / sum : window));
+            outstandingCap = (int) Math.max(2, Math.ceil(sum > 0 ? window * weights[self] / sum : window));
             // Dealt on what was told, and paid from it: of the period what went out, of the room what is out.
-            Figures told = peers.me.said;
-            int since = fetched - (told.period() == period ? told.fetched() : 0);
-            int open = share(room, weights, draws, me) - attempts.originOutstanding + told.outstanding();
+            PeerStatus last = peers.me.state;
+            int fetchedSince = fetched - (last.period() == period ? last.fetched() : 0);
+            int open = share(room, weights, draws, self) - attempts.originOutstanding + last.outstanding();
             // Danger: of a hundred, most have no miss when their turn comes. Each keeps one credit for its
             // next, so that the tier is over a period's allowance by one each at most.
-            kept = contended && before ? Math.min(kept, Math.max(0, credits)) : 0;
-            if (contended && held.keys.isEmpty()) {
-                kept = Math.min(1, kept + share);
+            savedCredits = contended && wasContended ? Math.min(savedCredits, Math.max(0, credits)) : 0;
+            if (contended && held.misses.isEmpty()) {
+                savedCredits = Math.min(1, savedCredits + share);
             }
-            credits = !contended ? Math.min(share - since, open) : held.keys.isEmpty() ? kept : kept + share;
+            credits = !contended
+                    ? Math.min(share - fetchedSince, open)
+                    : held.misses.isEmpty() ? savedCredits : savedCredits + share;
         }
 
         /** Equation 8 with a ceiling; the surplus of equation 9 goes back by lowest draw, then number. */
-        static int share(long d, double[] weights, int[] draws, int me) {
-            double sum = Arrays.stream(weights).sum();
-            if (sum <= 0 || d <= 0) {
+        static int share(long total, double[] weights, int[] draws, int self) {
+            double totalWeight = Arrays.stream(weights).sum();
+            if (totalWeight <= 0 || total <= 0) {
                 return 0;
             }
-            long surplus = -d;
-            int mine = 0;
-            int lower = 0;
-            for (int j = 0; j < weights.length; j++) {
-                int x = (int) Math.ceil(d * weights[j] / sum - 1e-9);
-                surplus += x;
-                if (j == me) {
-                    mine = x;
+            long surplus = -total;
+            int own = 0;
+            int lowerDraws = 0;
+            for (int i = 0; i < weights.length; i++) {
+                int roundedUp = (int) Math.ceil(total * weights[i] / totalWeight - 1e-9);
+                surplus += roundedUp;
+                if (i == self) {
+                    own = roundedUp;
                 }
-                if (x > 0 && (draws[j] < draws[me] || draws[j] == draws[me] && j < me)) {
-                    lower++;
+                if (roundedUp > 0 && (draws[i] < draws[self] || draws[i] == draws[self] && i < self)) {
+                    lowerDraws++;
                 }
             }
-            return mine > 0 && lower < surplus ? mine - 1 : mine;
+            return own > 0 && lowerDraws < surplus ? own - 1 : own;
         }
 
         /** Equation 10; what F leaves of the subperiod's pace rotates along the weights. */
-        static int contention(long d, double pace, double[] weights, int me, long step) {
-            long first = (long) Math.floor(step * pace);
-            long count = Math.min(d, (long) Math.floor((step + 1) * pace) - first);
-            if (weights[me] <= 0 || count <= 0) {
+        static int contendedShare(long limit, double perSubperiod, double[] weights, int self, long step) {
+            long firstCredit = (long) Math.floor(step * perSubperiod);
+            long count = Math.min(limit, (long) Math.floor((step + 1) * perSubperiod) - firstCredit);
+            if (weights[self] <= 0 || count <= 0) {
                 return 0;
             }
             int members = (int) Arrays.stream(weights).filter(w -> w > 0).count();
-            double low = Arrays.stream(weights, 0, me).sum();
-            double sum = Arrays.stream(weights).sum();
-            int mine = (int) Math.min(Math.floor(pace / members), count / members);
-            for (long c = first + (long) mine * members; c < first + count; c++) {
-                double at = (c * GOLDEN - Math.floor(c * GOLDEN)) * sum;
-                mine += at >= low && at < low + weights[me] ? 1 : 0;
+            double lowerWeights = Arrays.stream(weights, 0, self).sum();
+            double totalWeight = Arrays.stream(weights).sum();
+            int own = (int) Math.min(Math.floor(perSubperiod / members), count / members);
+            for (long credit = firstCredit + (long) own * members; credit < firstCredit + count; credit++) {
+                double position = (credit * GOLDEN_RATIO - Math.floor(credit * GOLDEN_RATIO)) * totalWeight;
+                own += position >= lowerWeights && position < lowerWeights + weights[self] ? 1 : 0;
             }
-            return mine;
+            return own;
         }
 
         /** Weight of a queued miss (equation 6), zero if it takes longer than a subperiod. */
         double weight(double size) {
-            return Math.max(0, Math.log10(subperiodMicros / 1e6 * SPEED / Math.max(1, size)));
+            return Math.max(0, Math.log10(subperiodMicros / 1e6 * WORK_MICROS_PER_SEC / Math.max(1, size)));
         }
 
         boolean mayFetch() {
@@ -374,7 +380,7 @@
             return credits > -outstandingCap && attempts.originOutstanding < 2 * outstandingCap;
         }
 
-        void spend() {
+        void spendCredit() {
             credits--;
             fetched++;
         }
@@ -382,13 +388,13 @@
 
     /** Learns X, the fetches a second that the origin answers in good time, from all balancers' answers. */
     final class Budget {
-        private double x;
-        private double best;
-        private double rateBefore;
-        private double cutMean;
-        private double leastLatencyMicros = shortestAimMicros / 4.0; // until seen: a usable one is quicker
-        private boolean learnt;
-        private boolean grown;
+        private double allowance;
+        private double bestRate;
+        private double previousRate;
+        private double meanBeforeCut;
+        private double minLatencyMicros = shortestAimMicros / 4.0; // until seen: a usable one is quicker
+        private boolean learned;
+        private boolean grewLastPeriod;
         private long answers;
         private long latencyMillis;
         private long failures;
@@ -397,84 +403,95 @@
             double quota = settings.tenants().stream()
                     .mapToDouble(Tenant::quotaPerSecond)
                     .sum();
-            best = Math.max(settings.balancers(), FIRST_X_OF_QUOTA * quota);
-            x = best;
+            bestRate = Math.max(settings.balancers(), INITIAL_ALLOWANCE_FRACTION * quota);
+            allowance = bestRate;
         }
 
         /** The mean time of an answer up to which X grows: past it misses come too late for their aims. */
-        double targetMicros() {
-            return Math.max(QUICK_LATENCY * leastLatencyMicros, TARGET_PART * shortestAimMicros);
+        double targetLatencyMicros() {
+            return Math.max(LATENCY_MULTIPLE * minLatencyMicros, AIM_FRACTION * shortestAimMicros);
         }
 
         /** The lowest of this estimate and of those that fresh peers have learnt, but for the noisiest. */
-        double effective() {
-            double[] told = Arrays.stream(peers.all)
-                    .filter(p -> p != peers.me)
+        double effectiveAllowance() {
+            double[] heard = Arrays.stream(peers.all)
+                    .filter(peer -> peer != peers.me)
                     .mapToDouble(Peer::allowance)
                     .filter(a -> a < Double.MAX_VALUE)
                     .sorted()
                     .toArray();
-            double low = told.length == 0 ? Double.MAX_VALUE : told[told.length / NOISY];
+            double lowest = heard.length == 0 ? Double.MAX_VALUE : heard[heard.length / OUTLIER_DIVISOR];
             // Danger: most restart at once, and what they have not learnt yet would bind them and then all.
-            return learnt || low == Double.MAX_VALUE ? Math.min(x, low) : low;
+            return learned || lowest == Double.MAX_VALUE ? Math.min(allowance, lowest) : lowest;
         }
 
-        void ended(Outcome outcome, long latencyMicros) {
+        void recordOutcome(Outcome outcome, long latencyMicros) {
             if (outcome == Outcome.SERVED) {
                 answers++;
                 latencyMillis += latencyMicros / 1000;
             } else if (outcome == Outcome.FULL // no connection is the link's fault, and no sign of load
-                    || outcome == Outcome.TIMED_OUT && latencyMicros > QUICK_LATENCY * leastLatencyMicros) {
+                    || outcome == Outcome.TIMED_OUT && latencyMicros > LATENCY_MULTIPLE * minLatencyMicros) {
                 failures++; // nor is a time-out where the client had too little time left for any answer
             }
         }
 
         /** Once a period, on what all fresh peers saw: one sees too little. What failed counts as slow. */
-        void endOfPeriod(boolean bound) {
-            long n = 0;
-            long millis = 0;
-            long bad = 0;
-            long heard = 0;
-            for (Peer p : peers.all) {
-                heard += p.fresh ? 1 : 0;
-                n += p.said.answers() - p.counted.answers();
-                millis += p.said.latencyMillis() - p.counted.latencyMillis();
-                bad += p.said.failures() - p.counted.failures();
-                p.counted = p.said;
-            }
-            double delivered = (double) n * settings.balancers() / heard;
-            double target = targetMicros();
-            double mean = n + bad > 0 ? (1000.0 * millis + 2 * bad * target) / (n + bad) : 0;
-            x = Math.min(learnt ? x : Math.max(x, effective()), effective() * GROWTH); // to test a peer's
-            double most = Math.max(delivered, rateBefore); // one period alone may have been a thin one
-            boolean known = n + bad > Math.min(1, x / 2);
-            boolean tested = known && bound && n > 0;
-            boolean late = known && mean > target;
+        void endPeriod(boolean allowanceBound) {
+            long answered = 0;
+            long totalMillis = 0;
+            long failed = 0;
+            long freshPeers = 0;
+            for (Peer peer : peers.all) {
+                freshPeers += peer.fresh ? 1 : 0;
+                answered += peer.state.answers() - peer.countedState.answers();
+                totalMillis += peer.state.latencyMillis() - peer.countedState.latencyMillis();
+                failed += peer.state.failures() - peer.countedState.failures();
+                peer.countedState = peer.state;
+            }
+            double answerRate = (double) answered * settings.balancers() / freshPeers;
+            double targetMicros = targetLatencyMicros();
+            double meanMicros = answered + failed > 0
+                    ? (1000.0 * totalMillis + 2 * failed * targetMicros) / (answered + failed)
+                    : 0;
+            allowance = Math.min(
+                    learned ? allowance : Math.max(allowance, effectiveAllowance()),
+                    effectiveAllowance() * GROWTH); // to test a peer's
+            double peak = Math.max(answerRate, previousRate); // one period alone may have been a thin one
+            boolean measured = answered + failed > Math.min(1, allowance / 2);
+            boolean tested = measured && allowanceBound && answered > 0;
+            boolean slow = measured && meanMicros > targetMicros;
             // Danger: a slowed origin looks like a queue, and cuts would go on to nothing. Where fewer out
             // cost rate rather than time, the time is its own.
-            double rate = delivered / rateBefore;
-            double time = mean / cutMean;
-            boolean itself = late && n > 0 && cutMean > 0 && rate * time < SAME && time > rate;
-            rateBefore = delivered;
-            cutMean = late && !itself ? mean : 0;
-            if (late && !itself) {
-                if (grown) {
-                    best = Math.min(best, x); // a step up that was too much
+            double rateRatio = answerRate / previousRate;
+            double latencyRatio = meanMicros / meanBeforeCut;
+            boolean slowed = slow
+                    && answered > 0
+                    && meanBeforeCut > 0
+                    && rateRatio * latencyRatio < CUT_EFFECT_RATIO
+                    && latencyRatio > rateRatio;
+            previousRate = answerRate;
+            meanBeforeCut = slow && !slowed ? meanMicros : 0;
+            if (slow && !slowed) {
+                if (grewLastPeriod) {
+                    bestRate = Math.min(bestRate, allowance); // a step up that was too much
                 }
-                x = Math.max(1, Math.min(x, Math.max(CUT * most, x / 2)));
-                log("origin slow: allowance down to " + Math.round(x) + " fetches a second");
-            } else if (known) {
-                best = Math.max(1, Math.max(tested ? best * FADING : best, delivered));
+                allowance = Math.max(1, Math.min(allowance, Math.max(CUT_FACTOR * peak, allowance / 2)));
+                log("origin slow: allowance down to " + Math.round(allowance) + " fetches a second");
+            } else if (measured) {
+                bestRate = Math.max(1, Math.max(tested ? bestRate * BEST_RATE_DECAY : bestRate, answerRate));
                 // Half of the way back to what it has answered before, past that by how quick it is.
-                double step = x * Math.min(GROWTH, Math.sqrt(target / mean));
-                step = itself ? most : x < CUT * best ? (x + best) / 2 : step;
-                x = Math.min(tested ? Math.max(x, step) : x, UNTESTED * best + settings.balancers());
+                double next = allowance * Math.min(GROWTH, Math.sqrt(targetMicros / meanMicros));
+                next = slowed ? peak : allowance < CUT_FACTOR * bestRate ? (allowance + bestRate) / 2 : next;
+                allowance = Math.min(
+                        tested ? Math.max(allowance, next) : allowance,
+                        UNTESTED_ALLOWANCE_MULTIPLE * bestRate + settings.balancers());
             }
-            grown = !late && tested;
-            learnt |= late || tested;
-            double eased = itself ? Math.min(mean, shortestAimMicros) : leastLatencyMicros * EASING;
-            if (n >= 4 || itself) {
-                leastLatencyMicros = Math.min(1000.0 * millis / n, eased);
+            grewLastPeriod = !slow && tested;
+            learned |= slow || tested;
+            double raisedMinimum =
+                    slowed ? Math.min(meanMicros, shortestAimMicros) : minLatencyMicros * MIN_LATENCY_GROWTH;
+            if (answered >= 4 || slowed) {
+                minLatencyMicros = Math.min(1000.0 * totalMillis / answered, raisedMinimum);
             }
         }
     }
@@ -483,7 +500,7 @@
     final class Peers {
         final Peer[] all = new Peer[settings.balancers()];
         final Peer me;
-        private int told = Figures.BYTES;
+        private int lastBytes = PeerStatus.BYTES;
 
         Peers() {
             for (int i = 0; i < all.length; i++) {
@@ -494,658 +511,675 @@
         }
 
         /** Marks who is fresh, and counts them, this balancer included. */
-        int refresh() {
-            int n = 0;
-            for (Peer p : all) {
-                p.fresh = p == me || now < p.heardMicros + SILENT_PERIODS * PERIOD_MICROS;
-                n += p.fresh ? 1 : 0;
+        int refreshAndCount() {
+            int freshPeers = 0;
+            for (Peer peer : all) {
+                peer.fresh = peer == me || now < peer.heardMicros + PEER_TIMEOUT_PERIODS * PERIOD_MICROS;
+                freshPeers += peer.fresh ? 1 : 0;
             }
-            return n;
+            return freshPeers;
         }
 
         /** Sends on change, in quiet times only heartbeats: messages cost with the square of the fleet. */
-        void tell() {
-            Figures f = me.said;
-            boolean pressed = held.queued() > 0 || f.queue() > 0 || ledger.contended || ledger.credits <= 1;
-            boolean changed = ledger.fetched != f.fetched()
-                    || held.queued() != f.queue()
-                    || attempts.originOutstanding != f.outstanding()
-                    || ledger.period != f.period();
-            long calm = attempts.jobs.isEmpty() ? PERIOD_MICROS / 2 : LOADS_MICROS;
-            long gap = !changed ? PERIOD_MICROS : pressed ? ledger.subperiodMicros / 2 : calm;
+        void sendIfDue() {
+            PeerStatus last = me.state;
+            boolean busy = held.queued() > 0 || last.queue() > 0 || ledger.contended || ledger.credits <= 1;
+            boolean changed = ledger.fetched != last.fetched()
+                    || held.queued() != last.queue()
+                    || attempts.originOutstanding != last.outstanding()
+                    || ledger.period != last.period();
+            long idleGapMicros = attempts.jobs.isEmpty() ? PERIOD_MICROS / 2 : LOAD_MESSAGE_GAP_MICROS;
+            long gapMicros = !changed ? PERIOD_MICROS : busy ? ledger.subperiodMicros / 2 : idleGapMicros;
             // Danger: each hears all others, and what a few tell freely costs a hundred a tenth of the worth.
-            double cost = (all.length - 1) * settings.prices().peer() * told / Loads.FULL_MESSAGE;
-            double requests = Math.max(1, slots.counts.total()) / (1.5 * COUNT_HALF_LIFE_MICROS);
-            double dear = Math.min(PERIOD_MICROS, cost / (TELLING_PART * requests));
-            gap = Math.max(gap, (long) dear);
-            if (me.heardMicros != NEVER && now < me.heardMicros + gap) {
+            double cost = (all.length - 1) * settings.prices().peer() * lastBytes / CacheLoads.MAX_BYTES;
+            double requestsPerMicro = Math.max(1, slots.counts.total()) / (1.5 * COUNT_HALF_LIFE_MICROS);
+            double costGapMicros = Math.min(PERIOD_MICROS, cost / (MESSAGE_COST_FRACTION * requestsPerMicro));
+            gapMicros = Math.max(gapMicros, (long) costGapMicros);
+            if (me.heardMicros != NEVER && now < me.heardMicros + gapMicros) {
                 return;
             }
             // Danger: told in step, all hear of a queue at once, leave it, and come back at the next word.
-            me.heardMicros = now + (long) ((random.nextDouble() - 0.5) * dear);
-            me.said = new Figures(
+            me.heardMicros = now + (long) ((random.nextDouble() - 0.5) * costGapMicros);
+            me.state = new PeerStatus(
                     ledger.period,
                     ledger.positionMillis(),
                     ledger.fetched,
                     held.queued(),
-                    (float) held.weight(),
+                    (float) held.totalWeight(),
                     Math.max(0, ledger.credits),
                     random.nextInt(1 << 16),
                     attempts.originOutstanding,
-                    budget.learnt ? (float) budget.x : 0,
+                    budget.learned ? (float) budget.allowance : 0,
                     (int) budget.answers,
                     budget.latencyMillis,
                     (int) budget.failures);
             if (all.length == 1 || !settings.limits().mayTellPeers()) {
                 return;
             }
-            byte[] loads = Loads.of(slots.caches);
-            told = Figures.BYTES + loads.length;
-            out.accept(new TellPeer(TellPeer.EVERYONE, me.said.encode(me.incarnation, ++me.sequence, loads)));
+            byte[] load = CacheLoads.encode(slots.servers);
+            lastBytes = PeerStatus.BYTES + load.length;
+            out.accept(new TellPeer(TellPeer.EVERYONE, me.state.encode(me.incarnation, ++me.sequence, load)));
         }
 
-        void heard(int from, byte[] content) {
+        void receive(int from, byte[] raw) {
             if (from < 0
                     || from >= all.length
                     || from == settings.index()
-                    || content == null
-                    || content.length < Figures.BYTES
-                    || content[0] != Figures.VERSION) {
+                    || raw == null
+                    || raw.length < PeerStatus.BYTES
+                    || raw[0] != PeerStatus.VERSION) {
                 return;
             }
-            ByteBuffer b = ByteBuffer.wrap(content, 1, content.length - 1);
-            int incarnation = b.getShort() & 0xffff;
-            int sequence = b.getInt();
-            Figures f = Figures.decode(b);
-            Peer p = all[from];
-            boolean known = p.heardMicros != NEVER && incarnation == p.incarnation;
-            if (!f.possible() || known && sequence <= p.sequence) {
+            ByteBuffer in = ByteBuffer.wrap(raw, 1, raw.length - 1);
+            int incarnation = in.getShort() & 0xffff;
+            int sequence = in.getInt();
+            PeerStatus state = PeerStatus.decode(in);
+            Peer peer = all[from];
+            boolean known = peer.heardMicros != NEVER && incarnation == peer.incarnation;
+            if (!state.isPlausible() || known && sequence <= peer.sequence) {
                 return; // foreign, repeated or overtaken
             }
-            p.hear(incarnation, sequence, now, f, Arrays.copyOfRange(content, b.position(), content.length));
+            peer.store(incarnation, sequence, now, state, Arrays.copyOfRange(raw, in.position(), raw.length));
             for (int i = 0; i < from; i++) {
                 if (all[i].fresh) {
                     return;
                 }
             }
-            ledger.follow(f.period(), f.positionMillis());
+            ledger.followPhase(state.period(), state.positionMillis());
         }
     }
 
     /** Slot map by highest hash among the ready caches; each has a part of its slots by size and warmth. */
-    final class Slots {
-        private final List<Cache> caches = new ArrayList<>();
-        private final Map<Long, Cache> byId = new HashMap<>();
-        private final Map<Integer, Cache> byTag = new HashMap<>();
-        private final Map<String, Area> areas = new HashMap<>();
-        private final Map<String, Double> largestOfKind = new HashMap<>();
-        private final Cache[] ranked = new Cache[SLOTS * RANKED];
-        private final long[] scores = new long[SLOTS * RANKED];
+    final class SlotMap {
+        private final List<Cache> servers = new ArrayList<>();
+        private final Map<Long, Cache> serversById = new HashMap<>();
+        private final Map<Integer, Cache> serversByTag = new HashMap<>();
+        private final Map<String, Zone> zones = new HashMap<>();
+        private final Map<String, Double> largestSizeByKind = new HashMap<>();
+        private final Cache[] rankedCaches = new Cache[SLOTS * SLOT_CACHES];
+        private final long[] rankScores = new long[SLOTS * SLOT_CACHES];
         private Cache origin;
-        private final KeyCounts counts = new KeyCounts(COUNTERS);
-        private final boolean live = settings.weights() == Weights.LIVE; // then sizes fall with load
-        private double usable;
+        private final KeyCounts counts = new KeyCounts(COUNTERS_PER_ROW);
+        private final boolean liveSizes = settings.weights() == Weights.LIVE; // then sizes fall with load
+        private double capacity;
         private double meanLoad;
-        private double mostTaken;
+        private double peakWork;
         private double hitMicros = shortestAimMicros / 4;
-        private double needMicros = hitMicros;
-        private long halvedMicros = NEVER;
-        private long heardMicros = NEVER / 2;
+        private double answerMicros = hitMicros;
+        private long lastHalvedMicros = NEVER;
+        private long lastAnswerMicros = NEVER / 2;
 
         /** Takes a list in; slots are ranked anew only where caches came or went. */
-        void listed(ServerList list) {
+        void applyList(ServerList list) {
             Set<Cache> seen = new HashSet<>();
-            Set<Cache> came = new LinkedHashSet<>();
-            Set<Cache> went = new HashSet<>();
+            Set<Cache> added = new LinkedHashSet<>();
+            Set<Cache> removed = new HashSet<>();
             for (Server s : list.servers()) {
-                Cache c = byId.get(s.id());
-                if (c == null && s.state() != State.RUNNING) {
+                Cache cache = serversById.get(s.id());
+                if (cache == null && s.state() != State.RUNNING) {
                     continue;
                 }
-                if (c == null) {
+                if (cache == null) {
                     int kind = settings.kinds().indexOf(s.kind());
-                    c = new Cache(
+                    cache = new Cache(
                             s.id(),
-                            aside && kind >= 0 && kind == settings.origin().kind());
-                    byId.put(c.id, c);
-                    caches.add(c);
-                    if (!c.origin) {
-                        came.add(c);
+                            cacheAside && kind >= 0 && kind == settings.origin().kind());
+                    serversById.put(cache.id, cache);
+                    servers.add(cache);
+                    if (!cache.origin) {
+                        added.add(cache);
                     }
                 }
-                if (s.startedMicros() != c.startedMicros) {
-                    c.restore(); // what was held against the process before is void
-                    c.tokens = random.nextDouble();
-                    c.limit = Math.min(c.limit, FIRST_LIMIT);
+                if (s.startedMicros() != cache.startedMicros) {
+                    cache.restore(); // what was held against the process before is void
+                    cache.tokens = random.nextDouble();
+                    cache.concurrencyLimit = Math.min(cache.concurrencyLimit, INITIAL_CONCURRENCY_LIMIT);
                 }
-                c.listed(s, areas.computeIfAbsent(s.zone() == null ? "" : s.zone(), z -> new Area()));
-                seen.add(c);
+                cache.update(s, zones.computeIfAbsent(s.zone() == null ? "" : s.zone(), z -> new Zone()));
+                seen.add(cache);
             }
-            for (Cache c : List.copyOf(caches)) {
-                c.running &= list.kind() == ListKind.CHANGES || seen.contains(c);
-                if (c.running) {
+            for (Cache cache : List.copyOf(servers)) {
+                cache.running &= list.kind() == ListKind.CHANGES || seen.contains(cache);
+                if (cache.running) {
                     continue; // draining or gone: nothing new from now on, the grace is not used
                 }
-                if (c.origin) {
+                if (cache.origin) {
                     attempts.originOutstanding = 0;
                 }
-                c.restore();
-                caches.remove(c);
-                byId.remove(c.id);
-                if (!c.origin && !came.remove(c)) {
-                    went.add(c);
+                cache.restore();
+                servers.remove(cache);
+                serversById.remove(cache.id);
+                if (!cache.origin && !added.remove(cache)) {
+                    removed.add(cache);
                 }
             }
-            caches.sort(Comparator.comparingLong(c -> c.id));
-            origin = caches.stream().filter(c -> c.origin).findFirst().orElse(null);
-            byTag.clear();
-            for (Cache c : caches) {
-                byTag.put(Loads.tag(c.id), c);
+            servers.sort(Comparator.comparingLong(cache -> cache.id));
+            origin = servers.stream().filter(cache -> cache.origin).findFirst().orElse(null);
+            serversByTag.clear();
+            for (Cache cache : servers) {
+                serversByTag.put(CacheLoads.tag(cache.id), cache);
             }
-            rank(came, went);
-            weigh();
+            updateRanking(added, removed);
+            updateShares();
         }
 
         /** Who came is put in place in each slot; only slots that held one that went are ranked from all. */
-        private void rank(Set<Cache> came, Set<Cache> went) {
-            for (int s = 0; s < SLOTS && !(came.isEmpty() && went.isEmpty()); s++) {
-                int base = s * RANKED;
-                boolean anew = false;
-                for (int r = 0; r < RANKED && !went.isEmpty(); r++) {
-                    anew |= went.contains(ranked[base + r]);
+        private void updateRanking(Set<Cache> added, Set<Cache> removed) {
+            for (int slot = 0; slot < SLOTS && !(added.isEmpty() && removed.isEmpty()); slot++) {
+                int base = slot * SLOT_CACHES;
+                boolean recompute = false;
+                for (int rank = 0; rank < SLOT_CACHES && !removed.isEmpty(); rank++) {
+                    recompute |= removed.contains(rankedCaches[base + rank]);
                 }
-                if (anew) {
-                    Arrays.fill(ranked, base, base + RANKED, null);
+                if (recompute) {
+                    Arrays.fill(rankedCaches, base, base + SLOT_CACHES, null);
                 }
-                if (anew) {
-                    Arrays.fill(scores, base, base + RANKED, 0);
+                if (recompute) {
+                    Arrays.fill(rankScores, base, base + SLOT_CACHES, 0);
                 }
-                for (Cache c : anew ? caches : came) {
-                    if (!c.origin) {
-                        place(s, base, c);
+                for (Cache cache : recompute ? servers : added) {
+                    if (!cache.origin) {
+                        insertRanked(slot, base, cache);
                     }
                 }
             }
         }
 
-        private void place(int slot, int base, Cache c) {
-            long score = Hash.mix(slot * 0x9e3779b97f4a7c15L + c.id) >>> 1;
-            if (score <= scores[base + RANKED - 1]) {
+        private void insertRanked(int slot, int base, Cache cache) {
+            long score = Hash.mix(slot * 0x9e3779b97f4a7c15L + cache.id) >>> 1;
+            if (score <= rankScores[base + SLOT_CACHES - 1]) {
                 return;
             }
-            int r = base + RANKED - 1;
-            for (; r > base && score > scores[r - 1]; r--) {
-                ranked[r] = ranked[r - 1];
-                scores[r] = scores[r - 1];
+            int rank = base + SLOT_CACHES - 1;
+            for (; rank > base && score > rankScores[rank - 1]; rank--) {
+                rankedCaches[rank] = rankedCaches[rank - 1];
+                rankScores[rank] = rankScores[rank - 1];
             }
-            ranked[r] = c;
-            scores[r] = score;
+            rankedCaches[rank] = cache;
+            rankScores[rank] = score;
         }
 
-        private double size(Cache c) {
-            return live ? largestOfKind.getOrDefault(c.kind, c.size) : c.size;
+        private double sizeOf(Cache cache) {
+            return liveSizes ? largestSizeByKind.getOrDefault(cache.kind, cache.size) : cache.size;
         }
 
         /** Each cache's part of its slots: its size against the largest, times how warm it is at least. */
-        private void weigh() {
+        private void updateShares() {
             double largest = 0;
-            double taken = 0;
-            double load = 0;
-            usable = 0;
-            for (Cache c : caches) {
-                c.elsewhere = 0;
-            }
-            for (Peer p : peers.all) {
-                if (now < p.heardMicros + 2 * PERIOD_MICROS) {
-                    Loads.add(p.loads, byTag);
+            double work = 0;
+            double totalLoad = 0;
+            capacity = 0;
+            for (Cache cache : servers) {
+                cache.outstandingElsewhere = 0;
+            }
+            for (Peer peer : peers.all) {
+                if (now < peer.heardMicros + 2 * PERIOD_MICROS) {
+                    CacheLoads.add(peer.loads, serversByTag);
                 }
             }
-            for (Cache c : caches) {
-                if (c.origin) {
+            for (Cache cache : servers) {
+                if (cache.origin) {
                     continue;
                 }
-                if (live) {
-                    largestOfKind.merge(c.kind, c.size, Math::max);
+                if (liveSizes) {
+                    largestSizeByKind.merge(cache.kind, cache.size, Math::max);
                 }
-                largest = Math.max(largest, size(c));
+                largest = Math.max(largest, sizeOf(cache));
             }
-            for (Cache c : caches) {
-                boolean sized = settings.weights() != Weights.NONE && largest > 0;
-                c.part = (sized ? Math.max(0.05, size(c) / largest) : 1) * warmth(c);
-                if (c.origin || out(c)) {
+            for (Cache cache : servers) {
+                boolean weighted = settings.weights() != Weights.NONE && largest > 0;
+                cache.part = (weighted ? Math.max(0.05, sizeOf(cache) / largest) : 1) * warmth(cache);
+                if (cache.origin || isOutOfUse(cache)) {
                     continue;
                 }
-                taken += c.taken;
-                load += c.load();
-                usable += c.part;
+                work += cache.recentWork;
+                totalLoad += cache.load();
+                capacity += cache.part;
             }
-            meanLoad = usable > 0 ? load / usable : 0;
+            meanLoad = capacity > 0 ? totalLoad / capacity : 0;
             // Danger: misses come back fast, so a cold cache looks idle and would draw all until it falls.
             // It gets no more than its part of what warm ones get, times a part of that multiple.
             double decay = Math.exp(-(double) ledger.subperiodMicros / COUNT_HALF_LIFE_MICROS);
-            double most = FALL_PART * settings.rules().fallMultiple();
+            double coldMultiple = COLD_LOAD_FRACTION * settings.rules().fallMultiple();
             // Danger: warm ones that are crowded answer less, and cold ones would get less just then.
-            mostTaken = Math.max(mostTaken * (1 - (1 - decay) / 8), usable > 0 ? taken / usable : 0);
-            double fill = mostTaken * (1 - decay) * most;
-            for (Cache c : caches) {
-                c.tokens = Math.min(Math.max(1, 4 * fill * c.part), c.tokens + fill * c.part);
-                c.sent *= decay;
-                c.taken *= decay;
+            peakWork = Math.max(peakWork * (1 - (1 - decay) / 8), capacity > 0 ? work / capacity : 0);
+            double fill = peakWork * (1 - decay) * coldMultiple;
+            for (Cache cache : servers) {
+                cache.tokens = Math.min(Math.max(1, 4 * fill * cache.part), cache.tokens + fill * cache.part);
+                cache.recentSent *= decay;
+                cache.recentWork *= decay;
             }
         }
 
-        private boolean cold(Cache c) {
-            return c.startedMicros != 0
-                    && now - c.startedMicros < settings.rules().coldMicros();
+        private boolean isCold(Cache cache) {
+            return cache.startedMicros != 0
+                    && now - cache.startedMicros < settings.rules().coldMicros();
         }
 
         /** The part of its capacity that a cache has at least, growing evenly since its start. */
-        private double warmth(Cache c) {
-            double least = settings.rules().coldCapacity();
-            double age = Math.max(0, now - c.startedMicros);
-            return cold(c)
-                    ? Math.min(1, least + (1 - least) * age / settings.rules().coldMicros())
+        private double warmth(Cache cache) {
+            double initialCapacity = settings.rules().coldCapacity();
+            double ageMicros = Math.max(0, now - cache.startedMicros);
+            return isCold(cache)
+                    ? Math.min(
+                            1,
+                            initialCapacity
+                                    + (1 - initialCapacity)
+                                            * ageMicros
+                                            / settings.rules().coldMicros())
                     : 1;
         }
 
         void tick() {
-            if (halvedMicros == NEVER || now - halvedMicros >= COUNT_HALF_LIFE_MICROS) {
-                halvedMicros = now;
+            if (lastHalvedMicros == NEVER || now - lastHalvedMicros >= COUNT_HALF_LIFE_MICROS) {
+                lastHalvedMicros = now;
                 counts.halve();
             }
-            double silence = silence();
-            for (Cache c : caches) {
+            double silence = silenceMicros();
+            for (Cache cache : servers) {
                 // Danger: a vanished machine sends no reset; each request to it would wait out its time.
-                boolean silent = c.unanswered >= SILENT_ATTEMPTS && now - c.quietSinceMicros >= silence;
-                if (!silent || c.suspect || c.origin || deaf()) {
+                boolean silentTooLong =
+                        cache.unanswered >= SUSPECT_UNANSWERED && now - cache.silentSinceMicros >= silence;
+                if (!silentTooLong || cache.suspect || cache.origin || hearsNobody()) {
                     continue;
                 }
-                suspect(c);
-                attempts.abandon(c);
+                markSuspect(cache);
+                attempts.cancelAttemptsAt(cache);
             }
-            weigh();
+            updateShares();
         }
 
-        private double silence() {
-            return Math.max(SILENT_LATENCIES * hitMicros, shortestAimMicros / 2.0);
+        private double silenceMicros() {
+            return Math.max(SILENCE_LATENCY_MULTIPLE * hitMicros, shortestAimMicros / 2.0);
         }
 
         /** Danger: a balancer that is held up itself hears nobody, and would put every server out of use. */
-        private boolean deaf() {
-            return now - heardMicros >= silence() / 2;
+        private boolean hearsNobody() {
+            return now - lastAnswerMicros >= silenceMicros() / 2;
         }
 
         /** Counts a request for the key and gives how many caches shall serve it. */
-        int spread(long key) {
-            return (int) Math.max(1, Math.min(RANKED, Math.ceil(counts.add(key) * usable / HOT_PART)));
+        int recordAndGetSpread(long key) {
+            return (int) Math.max(1, Math.min(SLOT_CACHES, Math.ceil(counts.add(key) * capacity / HOT_PART)));
         }
 
-        private boolean out(Cache c) {
-            return c.suspect || c.area.down;
+        private boolean isOutOfUse(Cache cache) {
+            return cache.suspect || cache.zone.down;
         }
 
-        boolean usable(Cache c) {
-            return c != null && c.running && !out(c) && room(c);
+        boolean isUsable(Cache cache) {
+            return cache != null && cache.running && !isOutOfUse(cache) && hasRoom(cache);
         }
 
-        boolean room(Cache c) {
-            return c.load() < c.limit && now >= c.closedUntilMicros && (!cold(c) || c.tokens >= 1);
+        boolean hasRoom(Cache cache) {
+            return cache.load() < cache.concurrencyLimit
+                    && now >= cache.backoffUntilMicros
+                    && (!isCold(cache) || cache.tokens >= 1);
         }
 
         /**
          * The part of its slots that a cache keeps. Danger: each balancer has little out where a queue is
          * long, as keys fall alike at all. The same slots go to the next cache at each, and find keys there.
          */
-        private double kept(Cache c) {
-            double most = SPILL * meanLoad * c.part + SPILL_SLACK;
-            return c.elsewhere > 0 && c.load() > most ? Math.pow(most / c.load(), 2) : 1;
+        private double retainedSlotFraction(Cache cache) {
+            double threshold = OVERLOAD_MULTIPLE * meanLoad * cache.part + OVERLOAD_SLACK;
+            return cache.outstandingElsewhere > 0 && cache.load() > threshold
+                    ? Math.pow(threshold / cache.load(), 2)
+                    : 1;
         }
 
         /** The cache for a key: its slot's first, or of {@code spread} the least busy; null to wait. */
-        Cache pick(long key, int spread, Cache shunned) {
+        Cache chooseCache(long key, int spread, Cache avoided) {
             int slot = (int) (Hash.mix(key) & SLOTS - 1);
-            int found = 0;
+            int candidates = 0;
             int ties = 0;
             Cache best = null;
-            Cache last = null;
-            for (int r = 0; r < RANKED && found < spread; r++) {
-                Cache c = ranked[slot * RANKED + r];
-                if (c == null || c == shunned || out(c) && !trial(c)) {
+            Cache fallback = null;
+            for (int rank = 0; rank < SLOT_CACHES && candidates < spread; rank++) {
+                Cache cache = rankedCaches[slot * SLOT_CACHES + rank];
+                if (cache == null || cache == avoided || isOutOfUse(cache) && !startTrial(cache)) {
                     continue;
                 }
-                if (out(c)) {
-                    return c;
+                if (isOutOfUse(cache)) {
+                    return cache;
                 }
-                last = c;
+                fallback = cache;
                 // A part of the slots, not of time: the same ones at every balancer, and few move.
-                double place = (Hash.mix(slot * 31L ^ c.id * 0x9e3779b97f4a7c15L) >>> 11) * 0x1p-53;
-                if (place >= c.part * kept(c)) {
+                double position = (Hash.mix(slot * 31L ^ cache.id * 0x9e3779b97f4a7c15L) >>> 11) * 0x1p-53;
+                if (position >= cache.part * retainedSlotFraction(cache)) {
                     continue;
                 }
-                if (cold(c) && c.tokens < 1) {
+                if (isCold(cache) && cache.tokens < 1) {
                     continue; // the next one takes what a cold cache can't
                 }
                 // Danger: one that turns away all, with nothing of ours there, keeps its keys waiting for it.
-                if (now < c.closedUntilMicros && c.outstanding == 0 && c.limit < 2) {
+                if (now < cache.backoffUntilMicros && cache.outstanding == 0 && cache.concurrencyLimit < 2) {
                     continue;
                 }
-                found++;
-                if (!room(c)) {
+                candidates++;
+                if (!hasRoom(cache)) {
                     continue;
                 }
-                double busy = (c.sent + c.load()) / c.part;
-                double lead = best == null ? 1 : (best.sent + best.load()) / best.part - busy;
-                ties = lead > 0 ? 1 : ties + 1;
-                if (lead > 0 || lead == 0 && random.nextInt(ties) == 0) {
-                    best = c;
+                double load = (cache.recentSent + cache.load()) / cache.part;
+                double margin = best == null ? 1 : (best.recentSent + best.load()) / best.part - load;
+                ties = margin > 0 ? 1 : ties + 1;
+                if (margin > 0 || margin == 0 && random.nextInt(ties) == 0) {
+                    best = cache;
                 }
             }
-            if (found > 0) {
+            if (candidates > 0) {
                 return best;
             }
-            for (Cache c : caches) {
-                last = last == null && !c.origin && !out(c) ? c : last;
+            for (Cache cache : servers) {
+                fallback = fallback == null && !cache.origin && !isOutOfUse(cache) ? cache : fallback;
             }
-            return usable(last) ? last : null;
+            return isUsable(fallback) ? fallback : null;
         }
 
         /** Whether a request may try a server out of use: one now and then, so that its return is noticed. */
-        boolean trial(Cache c) {
-            if (now < (c.area.down ? c.area.trialMicros : c.trialMicros)) {
+        boolean startTrial(Cache cache) {
+            if (now < (cache.zone.down ? cache.zone.nextTrialMicros : cache.nextTrialMicros)) {
                 return false;
             }
-            c.area.trialMicros = now + (long) (pace * TRIAL_MICROS);
-            delayTrial(c);
+            cache.zone.nextTrialMicros = now + (long) (scale * TRIAL_GAP_MICROS);
+            scheduleTrial(cache);
             return true;
         }
 
         /** Health from outcomes: any answer clears a server, silence and no connection speak against it. */
-        void ended(Cache c, AttemptEnded e, double aimMicros) {
-            Outcome outcome = e.outcome();
-            long latencyMicros = e.latencyMicros();
-            c.outstanding = Math.max(0, c.outstanding - 1);
-            boolean silent = outcome == Outcome.TIMED_OUT || outcome == Outcome.NOT_CONNECTED;
+        void recordOutcome(Cache cache, AttemptEnded event, double aimMicros) {
+            Outcome outcome = event.outcome();
+            long latencyMicros = event.latencyMicros();
+            cache.outstanding = Math.max(0, cache.outstanding - 1);
+            boolean noAnswer = outcome == Outcome.TIMED_OUT || outcome == Outcome.NOT_CONNECTED;
             boolean served = outcome == Outcome.SERVED;
             boolean failed = outcome == Outcome.ERROR; // a reset says more of the connection
-            if (!c.origin && (failed || served || outcome == Outcome.MISS)) {
-                c.answered(failed);
+            if (!cache.origin && (failed || served || outcome == Outcome.MISS)) {
+                cache.updateErrorRate(failed);
             }
-            boolean late = (served || outcome == Outcome.TIMED_OUT) && latencyMicros > aimMicros / 2;
-            if ((late || outcome == Outcome.FULL) && now >= c.limitCutMicros) {
-                c.limitCutMicros = now + latencyMicros;
-                c.limit = Math.max(1, Math.min(c.limit, c.load() + 1) * LIMIT_CUT);
-            } else if (served && !late && c.load() + 1 >= c.limit) {
-                c.limit += 1 / c.limit;
+            boolean slow = (served || outcome == Outcome.TIMED_OUT) && latencyMicros > aimMicros / 2;
+            if ((slow || outcome == Outcome.FULL) && now >= cache.nextLimitCutMicros) {
+                cache.nextLimitCutMicros = now + latencyMicros;
+                cache.concurrencyLimit =
+                        Math.max(1, Math.min(cache.concurrencyLimit, cache.load() + 1) * LIMIT_CUT_FACTOR);
+            } else if (served && !slow && cache.load() + 1 >= cache.concurrencyLimit) {
+                cache.concurrencyLimit += 1 / cache.concurrencyLimit;
             }
             // Danger: what is turned away or times out is no measure of what a cache takes.
-            c.taken += served ? 1 : outcome == Outcome.MISS ? MISS_COST : 0;
+            cache.recentWork += served ? 1 : outcome == Outcome.MISS ? MISS_COST : 0;
             if (outcome == Outcome.MISS) {
-                c.sent -= Math.min(c.sent, 1 - MISS_COST);
+                cache.recentSent -= Math.min(cache.recentSent, 1 - MISS_COST);
             }
             if (outcome == Outcome.MISS) {
-                c.tokens += 1 - MISS_COST; // what it cost, not what it might have
+                cache.tokens += 1 - MISS_COST; // what it cost, not what it might have
             }
             if (outcome == Outcome.FULL) {
-                c.gapMicros = (long) Math.min(pace * PERIOD_MICROS, Math.max(2 * c.gapMicros, hitMicros / 4));
-                c.closedUntilMicros = now + (long) ((0.5 + random.nextDouble()) * c.gapMicros);
+                cache.waitMicros =
+                        (long) Math.min(scale * PERIOD_MICROS, Math.max(2 * cache.waitMicros, hitMicros / 4));
+                cache.backoffUntilMicros = now + (long) ((0.5 + random.nextDouble()) * cache.waitMicros);
             }
             if (served) {
-                c.gapMicros /= 2;
+                cache.waitMicros /= 2;
             }
-            double need = Math.min(MOST_NEED * shortestAimMicros, served ? latencyMicros : 2 * latencyMicros);
-            if (!c.origin && (served || outcome == Outcome.TIMED_OUT)) {
-                needMicros += (need - needMicros) / 16;
+            double observedMicros =
+                    Math.min(MAX_AIM_SHARE * shortestAimMicros, served ? latencyMicros : 2 * latencyMicros);
+            if (!cache.origin && (served || outcome == Outcome.TIMED_OUT)) {
+                answerMicros += (observedMicros - answerMicros) / 16;
             }
-            if (silent) {
-                boolean unheard = now - c.area.heardMicros > settings.limits().connectTimeoutMicros();
+            if (noAnswer) {
+                boolean unheard =
+                        now - cache.zone.heardMicros > settings.limits().connectTimeoutMicros();
                 unheard &= outcome == Outcome.NOT_CONNECTED;
-                if (c.suspect || c.unanswered >= SILENT_ATTEMPTS && !deaf() || unheard) {
-                    suspect(c);
+                if (cache.suspect || cache.unanswered >= SUSPECT_UNANSWERED && !hearsNobody() || unheard) {
+                    markSuspect(cache);
                 }
             } else if (outcome != Outcome.CANCELLED && outcome != Outcome.NOT_SENT) {
                 // A link is back: each server behind it would else wait for a trial of its own.
-                if (c.area.down) {
-                    for (Cache other : caches) {
-                        if (other.area == c.area) {
+                if (cache.zone.down) {
+                    for (Cache other : servers) {
+                        if (other.zone == cache.zone) {
                             other.restore();
                         }
                     }
                 }
-                c.heard(now);
-                heardMicros = now;
-                if (c.suspect && !failed) {
-                    c.trialMicros = now; // one more trial tells whether it serves again
+                cache.recordAnswer(now);
+                lastAnswerMicros = now;
+                if (cache.suspect && !failed) {
+                    cache.nextTrialMicros = now; // one more trial tells whether it serves again
                 }
                 // Danger: one that fails at once looks idle, and draws its requests till their tries end.
-                if (failed && c.failing > FAILING && !c.origin && mostWell()) {
-                    suspect(c);
+                if (failed && cache.errorRate > SUSPECT_ERROR_RATE && !cache.origin && mostServersUsable()) {
+                    markSuspect(cache);
                 }
-                if (served && !c.origin) {
+                if (served && !cache.origin) {
                     hitMicros += (latencyMicros - hitMicros) / 64;
                 }
             }
         }
 
         /** Errors everywhere are no server's own: out of use, they would only crowd the rest. */
-        private boolean mostWell() {
-            return caches.stream().filter(this::out).count() < caches.size() / 2;
+        private boolean mostServersUsable() {
+            return servers.stream().filter(this::isOutOfUse).count() < servers.size() / 2;
         }
 
         /** Danger: trials of many balancers, in step, would push a cache over when it is back. */
-        private void delayTrial(Cache c) {
-            double times = Math.max(1, settings.balancers() / TRIAL_CROWD) * (0.5 + random.nextDouble() / 2);
-            c.trialMicros = now + (long) (pace * c.trialGapMicros * times);
+        private void scheduleTrial(Cache cache) {
+            double factor = Math.max(1, settings.balancers() / TRIAL_PEERS) * (0.5 + random.nextDouble() / 2);
+            cache.nextTrialMicros = now + (long) (scale * cache.trialGapMicros * factor);
         }
 
-        private void suspect(Cache c) {
-            if (c.suspect) {
-                c.trialGapMicros = Math.min(2 * c.trialGapMicros, MAX_TRIAL_MICROS);
+        private void markSuspect(Cache cache) {
+            if (cache.suspect) {
+                cache.trialGapMicros = Math.min(2 * cache.trialGapMicros, MAX_TRIAL_GAP_MICROS);
             } else {
-                log("server " + c.id + (c.failing > FAILING ? " fails" : " is silent") + ": out of use");
+                log("server " + cache.id + (cache.errorRate > SUSPECT_ERROR_RATE ? " fails" : " is silent")
+                        + ": out of use");
             }
-            c.suspect();
-            delayTrial(c);
+            cache.markSuspect();
+            scheduleTrial(cache);
             // Danger: behind a cut link every server would have to fail by itself, one time-out each.
-            boolean quiet = now - c.area.heardMicros > PERIOD_MICROS / 2;
-            if (!c.area.down && quiet && c.area.suspects >= SILENT_ATTEMPTS) {
-                c.area.down = true;
-                c.area.trialMicros = now + (long) (pace * TRIAL_MICROS);
+            boolean zoneSilent = now - cache.zone.heardMicros > PERIOD_MICROS / 2;
+            if (!cache.zone.down && zoneSilent && cache.zone.suspects >= SUSPECT_UNANSWERED) {
+                cache.zone.down = true;
+                cache.zone.nextTrialMicros = now + (long) (scale * TRIAL_GAP_MICROS);
                 log("nothing answers in a whole zone: its servers are out of use");
             }
         }
     }
 
     /** Misses and writes that wait for credits, and requests that wait for room at a cache. */
-    final class Held {
-        private final List<Waiting> keys = new ArrayList<>();
+    final class HeldRequests {
+        private final List<HeldMiss> misses = new ArrayList<>();
         private final List<Job> writes = new ArrayList<>();
-        private final List<Job> parked = new ArrayList<>();
+        private final List<Job> awaitingRoom = new ArrayList<>();
 
         /** Fetches wanted: one a key, since a fetch serves all that wait for it. */
         int queued() {
-            return writes.size() + (int) keys.stream().filter(Waiting::free).count();
+            return writes.size()
+                    + (int) misses.stream().filter(HeldMiss::needsFetch).count();
         }
 
-        double weight() {
+        double totalWeight() {
             double sum = writes.stream()
-                    .mapToDouble(j -> ledger.weight(j.request.workMicros()))
+                    .mapToDouble(job -> ledger.weight(job.request.workMicros()))
                     .sum();
-            for (Waiting w : keys) {
-                sum += w.free() ? ledger.weight(w.workMicros()) : 0;
+            for (HeldMiss miss : misses) {
+                sum += miss.needsFetch() ? ledger.weight(miss.workMicros()) : 0;
             }
             return sum;
         }
 
-        void missed(Job job, boolean fetchedElsewhere) {
-            Waiting w = job.waiting;
-            for (Waiting other : keys) {
-                w = w == null && other.key == job.key ? other : w;
+        void holdMiss(Job job, boolean fetchedElsewhere) {
+            HeldMiss miss = job.heldMiss;
+            for (HeldMiss candidate : misses) {
+                miss = miss == null && candidate.key == job.key ? candidate : miss;
             }
-            if (w == null) {
-                w = new Waiting(job.key, now);
-                keys.add(w);
+            if (miss == null) {
+                miss = new HeldMiss(job.key, now);
+                misses.add(miss);
                 // Danger: balancers that all miss a key would all fetch it. Each waits its turn, by key and
                 // number; who has waited asks the cache again before it buys.
-                double b = settings.balancers();
-                double turn = Long.remainderUnsigned(Hash.mix(job.key) + settings.index(), (long) b) / b;
-                double wait = b == 1 ? 0 : (fetchedElsewhere ? 1 : 0) + (ledger.contended ? turn : 0);
-                w.readyMicros += (long) (wait * budget.leastLatencyMicros);
+                double size = settings.balancers();
+                double lag = Long.remainderUnsigned(Hash.mix(job.key) + settings.index(), (long) size) / size;
+                double latencies = size == 1 ? 0 : (fetchedElsewhere ? 1 : 0) + (ledger.contended ? lag : 0);
+                miss.eligibleMicros += (long) (latencies * budget.minLatencyMicros);
             }
-            if (w.leader == job) {
-                w.leader = null; // asked again in vain: now it is for a credit
+            if (miss.leader == job) {
+                miss.leader = null; // asked again in vain: now it is for a credit
             }
-            if (job.waiting == null) {
-                w.jobs.add(job);
+            if (job.heldMiss == null) {
+                miss.jobs.add(job);
             }
-            job.waiting = w;
-            release();
-            answerIfDue(job);
+            job.heldMiss = miss;
+            releaseFetches();
+            refuseIfDue(job);
         }
 
-        void write(Job job) {
+        void holdWrite(Job job) {
             writes.add(job);
-            release();
-            answerIfDue(job);
+            releaseFetches();
+            refuseIfDue(job);
         }
 
-        void hold(Job job, List<Job> where) {
-            where.add(job);
-            answerIfDue(job);
+        void hold(Job job, List<Job> queue) {
+            queue.add(job);
+            refuseIfDue(job);
         }
 
         /** Danger: a client's last try may have less time left than to the next tick, and be lost. */
-        void answerIfDue(Job job) {
-            boolean due = job.heldUntilMicros() < now + ledger.subperiodMicros + settings.tickMicros();
-            if (due && job.at == null) {
-                attempts.finish(job);
+        void refuseIfDue(Job job) {
+            boolean due = job.holdDeadlineMicros() < now + ledger.subperiodMicros + settings.tickMicros();
+            if (due && job.currentServer == null) {
+                attempts.refuseOrFail(job);
             }
         }
 
         /** Spends what credits there are: writes first, then the key whose waiters are worth most. */
-        void release() {
+        void releaseFetches() {
             Cache origin = slots.origin;
-            if (origin == null || slots.out(origin) && !(queued() > 0 && slots.trial(origin))) {
+            if (origin == null || slots.isOutOfUse(origin) && !(queued() > 0 && slots.startTrial(origin))) {
                 return;
             }
             while (!writes.isEmpty() && ledger.mayWrite()) {
-                ledger.spend();
+                ledger.spendCredit();
                 attempts.send(writes.remove(0), origin, 0);
             }
             while (true) {
-                Waiting best = null;
-                double most = 0;
-                for (Waiting w : keys) {
-                    double worth = w.leader == null && w.readyMicros <= now ? w.worth() : -1;
-                    best = worth >= most ? w : best;
-                    most = Math.max(worth, most);
+                HeldMiss best = null;
+                double bestWorth = 0;
+                for (HeldMiss miss : misses) {
+                    double worth = miss.leader == null && miss.eligibleMicros <= now ? miss.totalWorth() : -1;
+                    best = worth >= bestWorth ? miss : best;
+                    bestWorth = Math.max(worth, bestWorth);
                 }
                 if (best == null) {
                     return;
                 }
                 // The one with least time takes the answer of the fetch, the others ask the cache after it.
                 Job leader = best.mostUrgent();
-                boolean stale = now - best.sinceMicros >= budget.leastLatencyMicros;
+                boolean stale = now - best.heldSinceMicros >= budget.minLatencyMicros;
                 // Another balancer may have filled the cache meanwhile: asking again costs no credit.
-                boolean ask = stale
+                boolean recheck = stale
                         && peers.all.length > 1
-                        && !leader.askedAgain
+                        && !leader.recheckedCache
                         && leader.attempts + 2 < maxAttempts
-                        && slots.usable(leader.missedAt);
-                if (!ask && !ledger.mayFetch()) {
+                        && slots.isUsable(leader.missedCache);
+                if (!recheck && !ledger.mayFetch()) {
                     return;
                 }
                 best.leader = leader;
-                leader.askedAgain |= ask;
-                if (!ask) {
-                    best.sinceMicros = now;
-                    ledger.spend();
+                leader.recheckedCache |= recheck;
+                if (!recheck) {
+                    best.heldSinceMicros = now;
+                    ledger.spendCredit();
                 }
-                attempts.send(leader, ask ? leader.missedAt : origin, 0);
+                attempts.send(leader, recheck ? leader.missedCache : origin, 0);
             }
         }
 
         /** A request was served: what else waits for its key finds the object where that one missed. */
-        void served(Job job) {
-            Waiting w = job.waiting;
+        void completeFetch(Job job) {
+            HeldMiss miss = job.heldMiss;
             remove(job);
-            if (w == null || w.leader != job) {
+            if (miss == null || miss.leader != job) {
                 return;
             }
-            keys.remove(w);
-            for (Job j : w.jobs) {
-                j.waiting = null;
-                j.home = job.missedAt;
-                if (j.attempts + 1 < maxAttempts) {
-                    attempts.ask(j);
+            misses.remove(miss);
+            for (Job waiter : miss.jobs) {
+                waiter.heldMiss = null;
+                waiter.preferredCache = job.missedCache;
+                if (waiter.attempts + 1 < maxAttempts) {
+                    attempts.sendToCache(waiter);
                 } else {
-                    missed(j, false);
+                    holdMiss(waiter, false);
                 }
             }
         }
 
         /** Takes a request out of what it waits in; a key that loses its leader waits for another credit. */
         void remove(Job job) {
-            Waiting w = job.waiting;
-            if (w != null) {
-                w.jobs.remove(job);
-                if (w.leader == job && !job.served) {
-                    w.leader = null;
+            HeldMiss miss = job.heldMiss;
+            if (miss != null) {
+                miss.jobs.remove(job);
+                if (miss.leader == job && !job.served) {
+                    miss.leader = null;
                 }
-                if (w.jobs.isEmpty()) {
-                    keys.remove(w);
+                if (miss.jobs.isEmpty()) {
+                    misses.remove(miss);
                 }
             }
             writes.remove(job);
-            parked.remove(job);
+            awaitingRoom.remove(job);
         }
 
         /** A cache has room again: of those that wait for it, what is worth most goes first. */
-        void unpark(Cache c) {
-            Job best = parked.stream()
-                    .filter(j -> j.parkedFor == c)
-                    .min(this::before)
+        void resumeOne(Cache cache) {
+            Job best = awaitingRoom.stream()
+                    .filter(job -> job.awaited == cache)
+                    .min(this::compareUrgency)
                     .orElse(null);
-            if (best == null || !slots.room(c)) {
+            if (best == null || !slots.hasRoom(cache)) {
                 return;
             }
-            parked.remove(best);
-            attempts.ask(best);
+            awaitingRoom.remove(best);
+            attempts.sendToCache(best);
         }
 
-        private int before(Job a, Job b) {
+        private int compareUrgency(Job first, Job second) {
             // Danger: first come, first served, all are late where more come than can be served.
-            long back = now + (long) slots.hitMicros;
-            int byWorth = Double.compare(b.worthAt(back), a.worthAt(back));
-            return byWorth != 0 ? byWorth : Long.compare(a.usefulUntilMicros, b.usefulUntilMicros);
+            long answerMicros = now + (long) slots.hitMicros;
+            int byWorth = Double.compare(second.worthAt(answerMicros), first.worthAt(answerMicros));
+            return byWorth != 0 ? byWorth : Long.compare(first.usefulUntilMicros, second.usefulUntilMicros);
         }
 
         /** Answers what can no longer be served in time, while a refusal still spares the client a wait. */
         void tick() {
-            long until = now + ledger.subperiodMicros + settings.tickMicros();
-            double fetch = until + budget.leastLatencyMicros;
-            List<Job> late = new ArrayList<>();
-            for (Waiting w : keys) {
-                double last = w.leader == null ? fetch : until;
-                for (Job j : w.jobs) {
-                    if (j != w.leader && j.usefulUntilMicros < last) {
-                        late.add(j);
+            long nextTickMicros = now + ledger.subperiodMicros + settings.tickMicros();
+            double fetchedMicros = nextTickMicros + budget.minLatencyMicros;
+            List<Job> expired = new ArrayList<>();
+            for (HeldMiss miss : misses) {
+                double latestMicros = miss.leader == null ? fetchedMicros : nextTickMicros;
+                for (Job job : miss.jobs) {
+                    if (job != miss.leader && job.usefulUntilMicros < latestMicros) {
+                        expired.add(job);
                     }
                 }
             }
-            for (Job j : writes) {
-                if (j.heldUntilMicros() < fetch) {
-                    late.add(j);
+            for (Job job : writes) {
+                if (job.holdDeadlineMicros() < fetchedMicros) {
+                    expired.add(job);
                 }
             }
-            for (Job j : late) {
-                attempts.finish(j);
+            for (Job job : expired) {
+                attempts.refuseOrFail(job);
             }
-            List<Job> again = parked.stream().sorted(this::before).toList();
-            parked.clear();
-            for (Job j : again) {
-                attempts.ask(j);
+            List<Job> resumed =
+                    awaitingRoom.stream().sorted(this::compareUrgency).toList();
+            awaitingRoom.clear();
+            for (Job job : resumed) {
+                attempts.sendToCache(job);
             }
-            release();
+            releaseFetches();
         }
     }
 
@@ -1155,162 +1189,168 @@
         private final RequestClass unknownClass =
                 new RequestClass("", 0, 0, 1, Effect.UNSAFE, Group.CELL, 0, 0, 0, false);
         int originOutstanding;
-        private double given = 1; // part of its aim that a client leaves: it may give up long before
-
-        void arrived(Request r) {
-            RequestClass kind = classes.getOrDefault(r.requestClass(), unknownClass);
-            Job job = new Job(r, kind, now);
-            long aim = kind.aimMicros() + (long) (kind.aimPerWork() * r.workMicros());
-            job.inTimeUntilMicros = aim > 0 ? Math.min(now + aim, r.deadlineMicros()) : r.deadlineMicros();
-            job.usefulUntilMicros = kind.lateWorth() == 0 ? job.inTimeUntilMicros : r.deadlineMicros();
-            given += (Math.min(1, (r.deadlineMicros() - now) / (aim + 1.0)) - given) / GIVEN_SEEN;
-            jobs.put(r.id(), job);
-            job.spread = slots.spread(job.key);
-            if (r.write() && aside) {
-                held.write(job);
+        private double clientPatience = 1; // part of its aim that a client leaves: it may give up long before
+
+        void admit(Request event) {
+            RequestClass type = classes.getOrDefault(event.requestClass(), unknownClass);
+            Job job = new Job(event, type, now);
+            long aim = type.aimMicros() + (long) (type.aimPerWork() * event.workMicros());
+            job.onTimeMicros = aim > 0 ? Math.min(now + aim, event.deadlineMicros()) : event.deadlineMicros();
+            job.usefulUntilMicros = type.lateWorth() == 0 ? job.onTimeMicros : event.deadlineMicros();
+            clientPatience += (Math.min(1, (event.deadlineMicros() - now) / (aim + 1.0)) - clientPatience)
+                    / PATIENCE_WINDOW_REQUESTS;
+            jobs.put(event.id(), job);
+            job.spread = slots.recordAndGetSpread(job.key);
+            if (event.write() && cacheAside) {
+                held.holdWrite(job);
             } else {
-                ask(job);
+                sendToCache(job);
             }
         }
 
         /** Asks the key's cache, or parks the request while there is no room. */
-        void ask(Job job) {
+        void sendToCache(Job job) {
             // A wait for a quarter of the time there is makes the next cache of the slot worth a fetch.
-            boolean waited = now - job.arrivedMicros > (job.usefulUntilMicros - job.arrivedMicros) / 4;
-            int spread = job.spread + (waited ? 1 : 0);
+            boolean waitedLong = now - job.arrivedMicros > (job.usefulUntilMicros - job.arrivedMicros) / 4;
+            int spread = job.spread + (waitedLong ? 1 : 0);
             // Danger: what can't be back in time costs a cache the same work, and comes again with less.
             long left = job.usefulUntilMicros - now;
-            if (left < slots.needMicros && job.attempts == 0 && job.kind.effect() == Effect.SAFE) {
-                finish(job);
+            if (left < slots.answerMicros && job.attempts == 0 && job.requestClass.effect() == Effect.SAFE) {
+                refuseOrFail(job);
                 return;
             }
-            Cache c = slots.usable(job.home) ? job.home : slots.pick(job.key, spread, job.shunned);
-            job.home = null;
-            if (c == null) {
-                job.parkedFor = slots.ranked[(int) (Hash.mix(job.key) & SLOTS - 1) * RANKED];
-                held.hold(job, held.parked);
+            Cache cache = slots.isUsable(job.preferredCache)
+                    ? job.preferredCache
+                    : slots.chooseCache(job.key, spread, job.avoidedCache);
+            job.preferredCache = null;
+            if (cache == null) {
+                job.awaited = slots.rankedCaches[(int) (Hash.mix(job.key) & SLOTS - 1) * SLOT_CACHES];
+                held.hold(job, held.awaitingRoom);
             } else {
-                boolean doubtful = slots.out(c) || c.unanswered >= SILENT_ATTEMPTS;
+                boolean suspected = slots.isOutOfUse(cache) || cache.unanswered >= SUSPECT_UNANSWERED;
                 // Danger: less than an answer takes, and none that is back could ever show it.
-                long third = (long) Math.max(DOUBTFUL_LATENCIES * slots.hitMicros, left / 3.0);
-                send(job, c, doubtful ? Math.max(1, Math.min(third, left)) : 0);
+                long timeoutMicros = (long) Math.max(SUSPECT_TIMEOUT_MULTIPLE * slots.hitMicros, left / 3.0);
+                send(job, cache, suspected ? Math.max(1, Math.min(timeoutMicros, left)) : 0);
             }
         }
 
-        void send(Job job, Cache to, long timeoutMicros) {
-            if (!maySend(job, to)) {
-                finish(job);
+        void send(Job job, Cache server, long timeoutMicros) {
+            if (!maySend(job, server)) {
+                refuseOrFail(job);
                 return;
             }
             job.attempts++;
-            job.at = to;
+            job.currentServer = server;
             job.sentMicros = now;
-            to.sent(now);
-            originOutstanding += to.origin ? 1 : 0;
+            server.recordSent(now);
+            originOutstanding += server.origin ? 1 : 0;
             // Past its aim an answer may be worth nothing: an attempt that may be repeated ends there.
-            boolean ends = job.kind.effect() == Effect.SAFE && !to.origin && timeoutMicros == 0;
-            long timeout = ends ? Math.max(1, job.usefulUntilMicros - now) : timeoutMicros;
-            out.accept(new Send(job.request.id(), to.id, timeout));
+            boolean capped = job.requestClass.effect() == Effect.SAFE && !server.origin && timeoutMicros == 0;
+            long timeout = capped ? Math.max(1, job.usefulUntilMicros - now) : timeoutMicros;
+            out.accept(new Send(job.request.id(), server.id, timeout));
         }
 
         /** Danger: an effect twice. After one that may have run only the class's repeats are harmless. */
-        private boolean maySend(Job job, Cache to) {
-            boolean over = now >= job.request.deadlineMicros() || job.attempts >= maxAttempts;
-            if (over || job.at != null) {
+        private boolean maySend(Job job, Cache server) {
+            boolean spent = now >= job.request.deadlineMicros() || job.attempts >= maxAttempts;
+            if (spent || job.currentServer != null) {
                 return false;
             }
-            if (job.ranMicros == NEVER || job.kind.effect() == Effect.SAFE) {
+            if (job.firstRunMicros == NEVER || job.requestClass.effect() == Effect.SAFE) {
                 return true;
             }
-            over |= now >= job.ranMicros + job.kind.windowMicros() - 2 * settings.tickMicros();
-            return job.kind.effect() == Effect.KEYED
-                    && !over
-                    && switch (job.kind.group()) {
+            spent |= now >= job.firstRunMicros + job.requestClass.windowMicros() - 2 * settings.tickMicros();
+            return job.requestClass.effect() == Effect.KEYED
+                    && !spent
+                    && switch (job.requestClass.group()) {
                         case ALL -> true;
-                        case ZONE -> to.area == job.ranAt.area;
-                        case CELL -> to.cell == job.ranAt.cell;
+                        case ZONE -> server.zone == job.firstRunAt.zone;
+                        case CELL -> server.cell == job.firstRunAt.cell;
                     };
         }
 
-        void ended(AttemptEnded e) {
-            Job job = jobs.get(e.request());
-            Cache at = job != null && job.at != null ? job.at : slots.byId.get(e.server());
-            long aim = job == null ? shortestAimMicros : job.kind.aimMicros();
-            if (at != null) {
-                slots.ended(at, e, aim * given);
+        void complete(AttemptEnded event) {
+            Job job = jobs.get(event.request());
+            Cache server = job != null && job.currentServer != null
+                    ? job.currentServer
+                    : slots.serversById.get(event.server());
+            long aim = job == null ? shortestAimMicros : job.requestClass.aimMicros();
+            if (server != null) {
+                slots.recordOutcome(server, event, aim * clientPatience);
             }
-            if (at != null && at.origin) {
+            if (server != null && server.origin) {
                 originOutstanding = Math.max(0, originOutstanding - 1);
-                budget.ended(e.outcome(), e.latencyMicros());
+                budget.recordOutcome(event.outcome(), event.latencyMicros());
             }
             if (job != null) {
-                settle(job, at, e);
-            }
-            if (at != null && at.origin) {
-                held.release();
-            } else if (at != null) {
-                held.unpark(at);
-            }
-        }
-
-        private void settle(Job job, Cache at, AttemptEnded e) {
-            job.at = null;
-            if (!e.outcome().provesNothingRan() && job.ranMicros == NEVER) {
-                job.ranMicros = job.sentMicros;
-                job.ranAt = at;
-            }
-            if (e.done()) {
-                job.served = e.outcome() == Outcome.SERVED;
-                jobs.remove(e.request());
-                held.served(job);
-            } else if (now >= job.usefulUntilMicros || at == null) {
-                finish(job);
-            } else if (e.outcome() == Outcome.MISS && !at.origin) {
-                job.missedAt = at;
-                held.missed(job, e.note() == 3);
-            } else if (at.origin && job.waiting != null && job.attempts < maxAttempts) {
-                job.waiting.leader = null;
-                held.answerIfDue(job);
+                handleOutcome(job, server, event);
+            }
+            if (server != null && server.origin) {
+                held.releaseFetches();
+            } else if (server != null) {
+                held.resumeOne(server);
+            }
+        }
+
+        private void handleOutcome(Job job, Cache server, AttemptEnded event) {
+            job.currentServer = null;
+            if (!event.outcome().provesNothingRan() && job.firstRunMicros == NEVER) {
+                job.firstRunMicros = job.sentMicros;
+                job.firstRunAt = server;
+            }
+            if (event.done()) {
+                job.served = event.outcome() == Outcome.SERVED;
+                jobs.remove(event.request());
+                held.completeFetch(job);
+            } else if (now >= job.usefulUntilMicros || server == null) {
+                refuseOrFail(job);
+            } else if (event.outcome() == Outcome.MISS && !server.origin) {
+                job.missedCache = server;
+                held.holdMiss(job, event.note() == 3);
+            } else if (server.origin && job.heldMiss != null && job.attempts < maxAttempts) {
+                job.heldMiss.leader = null;
+                held.refuseIfDue(job);
             } else {
                 held.remove(job);
-                job.waiting = null;
-                job.parkedFor = at;
-                job.shunned = at.failing > DOUBTFUL ? at : null;
+                job.heldMiss = null;
+                job.awaited = server;
+                job.avoidedCache = server.errorRate > HEALTHY_ERROR_RATE ? server : null;
                 // Danger: asking on at once after a full answer is a storm that fills every cache.
-                if (!maySend(job, at)) {
-                    finish(job);
-                } else if (at.origin) {
+                if (!maySend(job, server)) {
+                    refuseOrFail(job);
+                } else if (server.origin) {
                     held.hold(job, held.writes);
-                } else if (e.outcome() == Outcome.FULL) {
-                    held.hold(job, held.parked);
+                } else if (event.outcome() == Outcome.FULL) {
+                    held.hold(job, held.awaitingRoom);
                 } else {
-                    ask(job);
+                    sendToCache(job);
                 }
             }
         }
 
         /** The final answer of a request that is not served: a refusal wherever that is allowed. */
-        void finish(Job job) {
+        void refuseOrFail(Job job) {
             if (jobs.remove(job.request.id()) == null) {
                 return;
             }
             held.remove(job);
-            boolean harmless = job.ranMicros == NEVER
-                    || job.kind.effect() == Effect.SAFE
-                    || job.kind.effect() == Effect.KEYED && job.kind.group() == Group.ALL;
+            boolean harmless = job.firstRunMicros == NEVER
+                    || job.requestClass.effect() == Effect.SAFE
+                    || job.requestClass.effect() == Effect.KEYED && job.requestClass.group() == Group.ALL;
             // Its aim is past by the time a retry could be served: the longest advice keeps that load away.
-            long wait = settings.limits().retryAfter() ? settings.limits().maxRetryAfterMicros() : 0;
+            long retryMicros =
+                    settings.limits().retryAfter() ? settings.limits().maxRetryAfterMicros() : 0;
             String id = job.request.id();
-            out.accept(harmless && job.at == null ? new Refuse(id, wait) : new Fail(id));
+            out.accept(harmless && job.currentServer == null ? new Refuse(id, retryMicros) : new Fail(id));
         }
 
         /** Calls off what waits at a silent cache, so that it can go elsewhere while there is time. */
-        void abandon(Cache c) {
+        void cancelAttemptsAt(Cache cache) {
             if (!settings.limits().mayCancel()) {
                 return;
             }
             for (Job job : jobs.values()) {
-                if (job.at == c && job.kind.effect() == Effect.SAFE) {
+                if (job.currentServer == cache && job.requestClass.effect() == Effect.SAFE) {
                     out.accept(new Cancel(job.request.id(), job.attempts - 1));
                 }
             }
@@ -1319,30 +1359,30 @@
 
     /** Keeps up with the server list: hears it where it is pushed, watches it where it must be asked for. */
     final class Membership {
-        private final boolean asks = settings.membership() == Decisions.Membership.ASK;
+        private final boolean mustWatch = settings.membership() == Decisions.Membership.ASK;
         private boolean watching;
-        private long askMicros;
-        private long waitMicros;
+        private long nextWatchMicros;
+        private long gapMicros;
 
         void tick() {
-            if (!asks || watching || now < askMicros) {
+            if (!mustWatch || watching || now < nextWatchMicros) {
                 return;
             }
             watching = true; // until the call is said to have failed
             out.accept(new WatchServers(true));
         }
 
-        void listed(ServerList list) {
+        void applyList(ServerList list) {
             if (list.kind() == ListKind.FAILED) {
                 // Danger: all asking again at once keep the list service down; each waits its own time.
                 watching = false;
-                waitMicros = (long) Math.max(ASK_MICROS, Math.min(GROWTH * waitMicros, MOST_ASK_MICROS));
-                askMicros = now + (long) ((0.5 + random.nextDouble() / 2) * waitMicros);
+                gapMicros = (long) Math.max(MIN_RETRY_MICROS, Math.min(GROWTH * gapMicros, MAX_RETRY_MICROS));
+                nextWatchMicros = now + (long) ((0.5 + random.nextDouble() / 2) * gapMicros);
                 return;
             }
             watching |= list.kind() != ListKind.LAST_KNOWN;
-            waitMicros = 0;
-            slots.listed(list);
+            gapMicros = 0;
+            slots.applyList(list);
         }
     }
 }
--- a/balancer/src/test/java/merlinstep/LedgerTest.java
+++ b/balancer/src/test/java/merlinstep/LedgerTest.java
@@ -72,7 +72,7 @@
     void contentionGivesFToEach() {
         // X T / K = 8 a subperiod, B = 4: F = 2 (equation 10).
         for (int i = 0; i < 4; i++) {
-            assertEquals(2, Rules.Ledger.contention(100, 8, new double[] {1, 1, 1, 1}, i, 11));
+            assertEquals(2, Rules.Ledger.contendedShare(100, 8, new double[] {1, 1, 1, 1}, i, 11));
         }
     }
 
@@ -83,7 +83,7 @@
         for (int step = 0; step < 400; step++) {
             int all = 0;
             for (int i = 0; i < 4; i++) {
-                int mine = Rules.Ledger.contention(100, 1, weights, i, step);
+                int mine = Rules.Ledger.contendedShare(100, 1, weights, i, step);
                 got[i] += mine;
                 all += mine;
             }
@@ -108,7 +108,7 @@
             long step = random.nextInt(100_000);
             int all = 0;
             for (int i = 0; i < b; i++) {
-                all += Rules.Ledger.contention(d, pace, weights, i, step);
+                all += Rules.Ledger.contendedShare(d, pace, weights, i, step);
             }
             assertTrue(all <= Math.min(d, Math.ceil(pace)), b + " " + pace + " " + d + " -> " + all);
         }
@@ -117,7 +117,7 @@
     @Test
     void weightIsTheLogarithmOfEquationSix() {
         Rules.Ledger ledger = new Rules(Timeline.settings(0, 2, 6)).ledger;
-        double speedInSubperiod = Rules.SPEED * ledger.subperiodMicros / 1e6;
+        double speedInSubperiod = Rules.WORK_MICROS_PER_SEC * ledger.subperiodMicros / 1e6;
         assertEquals(2, ledger.weight(speedInSubperiod / 100), 1e-9);
         assertEquals(0, ledger.weight(speedInSubperiod * 10), 1e-9);
     }
--- a/balancer/src/test/java/merlinstep/RulesTest.java
+++ b/balancer/src/test/java/merlinstep/RulesTest.java
@@ -443,7 +443,7 @@
     @Test
     void peerMessagesThatCannotBeAreDropped() {
         Timeline t = Timeline.with(0, 3, 3);
-        for (byte[] content : new byte[][] {{}, {1, 2, 3}, new byte[Figures.BYTES], new byte[256]}) {
+        for (byte[] content : new byte[][] {{}, {1, 2, 3}, new byte[PeerStatus.BYTES], new byte[256]}) {
             for (int from : new int[] {-1, 0, 3, 99, 1}) {
                 assertEquals(List.of(), t.event(new PeerMessage(from, content)));
             }
@@ -452,15 +452,16 @@
     }
 
     private static byte[] message(int incarnation, int sequence, float x, int queue) {
-        return new Figures(0, 100, 0, queue, queue * 2f, 0, 5, 0, x, 0, 0, 0).encode(incarnation, sequence, Loads.NONE);
+        return new PeerStatus(0, 100, 0, queue, queue * 2f, 0, 5, 0, x, 0, 0, 0)
+                .encode(incarnation, sequence, CacheLoads.NONE);
     }
 
     private static void tell(Timeline t, int from, int sequence, long cache, int out) {
         byte[] loads = ByteBuffer.allocate(3)
-                .putShort((short) Loads.tag(cache))
+                .putShort((short) CacheLoads.tag(cache))
                 .put((byte) out)
                 .array();
-        Figures quiet = new Figures(0, 100, 0, 0, 0, 0, 5, 0, 0, 0, 0, 0);
+        PeerStatus quiet = new PeerStatus(0, 100, 0, 0, 0, 0, 5, 0, 0, 0, 0, 0);
         t.event(new PeerMessage(from, quiet.encode(from, sequence, loads)));
         t.pass(60_000);
     }
@@ -484,10 +485,10 @@
 
     /** Peers of a large fleet are heard, each with so many misses queued; one round takes the time given. */
     private static void round(Timeline t, int balancers, int sequence, int queue, long micros) {
-        Figures f = new Figures(
+        PeerStatus f = new PeerStatus(
                 t.rules.ledger.period, t.rules.ledger.positionMillis(), 0, queue, 6.7f, 0, 5, 0, 100, 0, 0, 0);
         for (int from = 1; from < balancers; from++) {
-            t.event(new PeerMessage(from, f.encode(from, sequence, Loads.NONE)));
+            t.event(new PeerMessage(from, f.encode(from, sequence, CacheLoads.NONE)));
         }
         t.pass(micros);
     }
@@ -502,7 +503,7 @@
             }
             assertTrue(
                     t.rules.ledger.contended,
-                    "round " + i + " X " + t.rules.budget.effective() + " " + t.rules.peers.refresh());
+                    "round " + i + " X " + t.rules.budget.effectiveAllowance() + " " + t.rules.peers.refreshAndCount());
             t.end(onlySend(t.read("r" + i, 1000 + i)), Outcome.MISS);
             round(t, 100, 5 * i + 5, 2, 250_000);
             List<Send> sends = sends(t.actions);
@@ -608,7 +609,7 @@
                         new double[0]));
                 t.pass(100_000);
             }
-            x[way] = t.rules.budget.effective();
+            x[way] = t.rules.budget.effectiveAllowance();
         }
         assertTrue(x[0] == 100 && x[1] < 50, "X after short time-outs " + x[0] + ", after long ones " + x[1]);
     }
@@ -617,11 +618,11 @@
     void oneBalancerOutOfCreditsTeachesAHundredTheirAllowance() {
         for (int queue = 0; queue <= 3; queue += 3) {
             Timeline t = Timeline.with(0, 100, 3);
-            double before = t.rules.budget.effective();
+            double before = t.rules.budget.effectiveAllowance();
             for (int i = 1; i <= 12; i++) {
                 for (int from = 1; from < 100; from++) {
                     boolean busy = from == 7;
-                    Figures f = new Figures(
+                    PeerStatus f = new PeerStatus(
                             t.rules.ledger.period,
                             t.rules.ledger.positionMillis(),
                             0,
@@ -634,12 +635,12 @@
                             2 * i,
                             100L * i,
                             0);
-                    t.event(new PeerMessage(from, f.encode(from, i, Loads.NONE)));
+                    t.event(new PeerMessage(from, f.encode(from, i, CacheLoads.NONE)));
                 }
                 t.pass(SECOND / 2);
             }
             assertTrue(!t.rules.ledger.contended);
-            double now = t.rules.budget.effective();
+            double now = t.rules.budget.effectiveAllowance();
             assertTrue(queue == 0 ? now == before : now > 3 * before, queue + " queued, X " + before + " to " + now);
         }
     }
@@ -690,7 +691,7 @@
     @Test
     void whatOthersHaveOutCountsAgainstTheLimitOfACache() {
         Timeline t = Timeline.with(0, 2, 1);
-        tell(t, 1, 1, 1, (int) Rules.FIRST_LIMIT);
+        tell(t, 1, 1, 1, (int) Rules.INITIAL_CONCURRENCY_LIMIT);
         assertEquals(List.of(), sends(t.read("a", 7)));
         tell(t, 1, 2, 1, 0);
         assertEquals(1, sends(t.actions).size());
@@ -714,7 +715,7 @@
                 out[way] += sends(t.read("b" + i, i)).size();
             }
         }
-        assertTrue(out[0] >= Rules.FIRST_LIMIT && out[1] <= 4, out[0] + " and " + out[1] + " may be out");
+        assertTrue(out[0] >= Rules.INITIAL_CONCURRENCY_LIMIT && out[1] <= 4, out[0] + " and " + out[1] + " may be out");
     }
 
     /** Danger: first come, first served, and where more come than can be served all are late. */
@@ -725,7 +726,7 @@
         for (int i = 0; i < 30; i++) {
             out.addAll(sends(t.request("old" + i, "patient", i, false)));
         }
-        assertEquals((int) Rules.FIRST_LIMIT, out.size());
+        assertEquals((int) Rules.INITIAL_CONCURRENCY_LIMIT, out.size());
         t.pass(650_000);
         t.request("young", "patient", 77, false);
         assertEquals("young", onlySend(t.end(out.get(0), Outcome.SERVED)).request());
@@ -763,9 +764,9 @@
         Timeline t = Timeline.with(0, 2, 3);
         t.event(new PeerMessage(1, message(7, 5, 50, 0)));
         t.event(new PeerMessage(1, message(7, 4, 10, 0)));
-        assertEquals(50, t.rules.budget.effective(), 1e-6);
+        assertEquals(50, t.rules.budget.effectiveAllowance(), 1e-6);
         t.event(new PeerMessage(1, message(8, 1, 20, 0)));
-        assertEquals(20, t.rules.budget.effective(), 1e-6);
+        assertEquals(20, t.rules.budget.effectiveAllowance(), 1e-6);
     }
 
     @Test
@@ -773,19 +774,19 @@
         // Danger: its word of the new period came just before the own tick, each time, and X stood still.
         Timeline t = Timeline.with(1, 2, 3);
         for (int i = 1; i <= 10; i++) {
-            Figures of = new Figures(i, 0, 0, 0, 0, 0, 5, 0, 0, 4 * i, 200L * i, 0);
-            t.event(new PeerMessage(0, of.encode(1, i, Loads.NONE)));
+            PeerStatus of = new PeerStatus(i, 0, 0, 0, 0, 0, 5, 0, 0, 4 * i, 200L * i, 0);
+            t.event(new PeerMessage(0, of.encode(1, i, CacheLoads.NONE)));
             t.pass(999_000);
         }
-        assertTrue(t.rules.peers.all[0].counted.answers() >= 4 * 8);
+        assertTrue(t.rules.peers.all[0].countedState.answers() >= 4 * 8);
     }
 
     @Test
     void whoHasLearntNoXGoesByThePeersThatHave() {
         Timeline t = Timeline.with(0, 2, 3);
-        double first = t.rules.budget.effective();
+        double first = t.rules.budget.effectiveAllowance();
         t.event(new PeerMessage(1, message(7, 1, (float) (4 * first), 0)));
-        assertEquals(4 * first, t.rules.budget.effective(), 0.01);
+        assertEquals(4 * first, t.rules.budget.effectiveAllowance(), 0.01);
     }
 
     @Test
@@ -793,28 +794,28 @@
         Timeline t = Timeline.with(0, 2, 3);
         t.pass(100_000);
         t.event(new PeerMessage(1, message(7, 1, 1, 0)));
-        assertEquals(1, t.rules.budget.effective(), 1e-6);
+        assertEquals(1, t.rules.budget.effectiveAllowance(), 1e-6);
         t.pass(10 * SECOND);
-        assertTrue(t.rules.budget.effective() > 1, "X " + t.rules.budget.effective());
+        assertTrue(t.rules.budget.effectiveAllowance() > 1, "X " + t.rules.budget.effectiveAllowance());
     }
 
     @Test
     void idleTimeDoesNotInflateTheAllowance() {
         Timeline t = Timeline.with(0, 1, 3);
-        double before = t.rules.budget.effective();
+        double before = t.rules.budget.effectiveAllowance();
         t.pass(60 * SECOND);
-        assertEquals(before, t.rules.budget.effective(), 1e-6);
+        assertEquals(before, t.rules.budget.effectiveAllowance(), 1e-6);
     }
 
     @Test
     void theAllowanceFallsOnRefusalsAndComesBack() {
         Timeline t = Timeline.with(0, 1, 3);
-        double before = t.rules.budget.effective();
+        double before = t.rules.budget.effectiveAllowance();
         flood(t, 4, Outcome.FULL);
-        double fallen = t.rules.budget.effective();
+        double fallen = t.rules.budget.effectiveAllowance();
         assertTrue(fallen < before, fallen + " after " + before);
         flood(t, 12, Outcome.SERVED);
-        assertTrue(t.rules.budget.effective() > fallen, "X " + t.rules.budget.effective());
+        assertTrue(t.rules.budget.effectiveAllowance() > fallen, "X " + t.rules.budget.effectiveAllowance());
     }
 
     /** More misses than credits for some seconds, with every fetch ended alike. */
--- a/balancer/src/test/java/merlinstep/StoreLimitTest.java
+++ b/balancer/src/test/java/merlinstep/StoreLimitTest.java
@@ -142,11 +142,11 @@
 
     @Test
     public void anAllowanceThatNobodyAsksForDoesNotGrowBeyondTwiceWhatWasAnswered() {
-        double first = t.rules.budget.effective();
+        double first = t.rules.budget.effectiveAllowance();
         for (int s = 0; s < 20; s++) {
             second(30, 20_000);
         }
-        double after = t.rules.budget.effective();
+        double after = t.rules.budget.effectiveAllowance();
         assertTrue("X " + first + " then " + after, after <= 2 * first);
     }
 
@@ -158,7 +158,7 @@
         int atOnce = 0;
         for (int i = 1; i <= 60; i++) {
             for (int from = 1; from < 100; from++) {
-                Figures f = new Figures(
+                PeerStatus f = new PeerStatus(
                         one.rules.ledger.period,
                         one.rules.ledger.positionMillis(),
                         0,
@@ -171,7 +171,7 @@
                         i,
                         50L * i,
                         0);
-                one.event(new PeerMessage(from, f.encode(from, i, Loads.NONE)));
+                one.event(new PeerMessage(from, f.encode(from, i, CacheLoads.NONE)));
             }
             one.pass(500_000 + chance.nextInt(400_000));
             Send ask = Timeline.onlySend(one.read("m" + i, Hash.mix(i)));
@@ -181,7 +181,7 @@
             }
             one.pass(100_000);
         }
-        assertTrue(atOnce + " of 60 at once, X " + one.rules.budget.effective(), atOnce >= 55);
+        assertTrue(atOnce + " of 60 at once, X " + one.rules.budget.effectiveAllowance(), atOnce >= 55);
     }
 
     /**
@@ -194,7 +194,7 @@
         int fetched = 0;
         for (int period = 0; period < 5; period++) {
             for (int from = 1; from < 100; from++) {
-                Figures f = new Figures(
+                PeerStatus f = new PeerStatus(
                         one.rules.ledger.period,
                         one.rules.ledger.positionMillis(),
                         0,
@@ -207,7 +207,7 @@
                         period,
                         50L * period,
                         0);
-                one.event(new PeerMessage(from, f.encode(from, period + 1, Loads.NONE)));
+                one.event(new PeerMessage(from, f.encode(from, period + 1, CacheLoads.NONE)));
             }
             for (int miss = 0; miss < 8; miss++) { // nine credits a period and four places are each one's part
                 Send ask = Timeline.onlySend(one.read("m" + period + miss, Hash.mix(8 * period + miss)));
@@ -220,7 +220,9 @@
             }
             one.pass(1_000_000 - one.rules.ledger.positionMillis() * 1000L % 1_000_000);
         }
-        assertTrue(fetched + " of 40 bought their fetch at once, X " + one.rules.budget.effective(), fetched >= 38);
+        assertTrue(
+                fetched + " of 40 bought their fetch at once, X " + one.rules.budget.effectiveAllowance(),
+                fetched >= 38);
     }
 
     /** Danger: the least of a hundred noisy estimates is too low, and each went by it. A few have no noise to spare. */
@@ -229,10 +231,11 @@
         for (int balancers : new int[] {4, 100}) {
             Timeline one = Timeline.with(0, balancers, 3);
             for (int from = 1; from < balancers; from++) {
-                Figures f = new Figures(0, 0, 0, 0, 0, 1, from, 0, from == 1 ? 20 : 90, 0, 0, 0);
-                one.event(new PeerMessage(from, f.encode(from, 1, Loads.NONE)));
+                PeerStatus f = new PeerStatus(0, 0, 0, 0, 0, 1, from, 0, from == 1 ? 20 : 90, 0, 0, 0);
+                one.event(new PeerMessage(from, f.encode(from, 1, CacheLoads.NONE)));
             }
-            assertEquals(balancers + " balancers", balancers == 4 ? 20 : 90, one.rules.budget.effective(), 0.01);
+            assertEquals(
+                    balancers + " balancers", balancers == 4 ? 20 : 90, one.rules.budget.effectiveAllowance(), 0.01);
         }
     }
 }
--- a/balancer/src/test/java/merlinstep/TierCreditsTest.java
+++ b/balancer/src/test/java/merlinstep/TierCreditsTest.java
@@ -92,7 +92,10 @@
     }
 
     private double allowance() {
-        return tier.stream().mapToDouble(t -> t.rules.budget.effective()).max().orElseThrow();
+        return tier.stream()
+                .mapToDouble(t -> t.rules.budget.effectiveAllowance())
+                .max()
+                .orElseThrow();
     }
 
     @Test
--- a/tier/src/test/java/merlinstep/FullMesh.java
+++ b/tier/src/test/java/merlinstep/FullMesh.java
@@ -117,7 +117,7 @@
     public double allowance() {
         double most = 0;
         for (Node node : nodes) {
-            most = node.down ? most : Math.max(most, node.rules.budget.effective());
+            most = node.down ? most : Math.max(most, node.rules.budget.effectiveAllowance());
         }
         return most;
     }
--- a/tier/src/test/java/merlinstep/SameSplitTest.java
+++ b/tier/src/test/java/merlinstep/SameSplitTest.java
@@ -63,7 +63,7 @@
             @ForAll @IntRange(min = 0, max = 70) int routers,
             @ForAll @IntRange(min = 0, max = 0xffff) int draw)
             throws Exception {
-        Figures figures = new Figures(7, 130, fetched, queued, 6.5f, 3, draw, 11, 250f, 1, 2L, 3);
+        PeerStatus figures = new PeerStatus(7, 130, fetched, queued, 6.5f, 3, draw, 11, 250f, 1, 2L, 3);
         byte[] datagram = figures.encode(99, 12, new byte[3 * routers]);
         PreviousVersion.Figures read = PreviousVersion.decode(datagram);
         assertEquals(99, read.incarnation());
@@ -80,7 +80,7 @@
                 new GroupMessage(Level.SITE, 0, 1, 1, 0, 5, 1, true, 1, null, null, totals, LoadReport.NONE, null);
         rules.decide(5_100_000, new Decisions.PeerMessage(1, MessageCodec.encode(message)), action -> {});
         Assert.assertEquals(Long.MIN_VALUE, rules.peers.all[1].heardMicros);
-        byte[] own = Figures.NONE.encode(1, 1, Loads.NONE);
+        byte[] own = PeerStatus.NONE.encode(1, 1, CacheLoads.NONE);
         rules.decide(5_200_000, new Decisions.PeerMessage(1, own), action -> {});
         assertFalse(Long.MIN_VALUE == rules.peers.all[1].heardMicros);
     }
