--- a/balancer/src/main/java/merlinstep/Rules.java
+++ b/balancer/src/main/java/merlinstep/Rules.java
@@ -119,7 +119,7 @@
     private final Random random;
     private final Map<String, RequestClass> classes = new HashMap<>();
     private final long shortestAimMicros;
-    /** Aims against those that the times above were chosen for: shorter ones leave less time to find out. */
+    /** Factor on the time constants above: at most 1, lower where the shortest aim is below the reference. */
     private final double scale;
 
     private final boolean cacheAside;
@@ -194,7 +194,7 @@
         }
     }
 
-    /** One line a second at most: a flood of lines hides the one that matters. */
+    /** Emits a log line, at most one per second; further lines are dropped. */
     private void log(String text) {
         if (now < nextLogMicros) {
             return;
@@ -203,7 +203,7 @@
         out.accept(new Log(text));
     }
 
-    /** Splits the period's allowance into credits, subperiod by subperiod (equations 3 to 10). */
+    /** Divides the period's allowance into credits, subperiod by subperiod (equations 3 to 10). */
     final class Ledger {
         final int subperiods;
         final long subperiodMicros;
@@ -219,14 +219,16 @@
 
         Ledger() {
             double cpu = settings.limits().cpuMicrosPerSecond();
-            // With B balancers each reads B - 1 messages a subperiod, so that it grows with B.
+            // Each of B balancers reads B - 1 messages per subperiod, so the subperiod grows with B.
             double readMicros = cpu > 0 ? 1e6 * PEER_MESSAGE_CPU_MICROS / (PEER_CPU_FRACTION * cpu) : 0;
             double min = Math.max(readMicros * (settings.balancers() - 1), scale * MIN_SUBPERIOD_MICROS);
             subperiods = Math.max(2, (int) (PERIOD_MICROS / Math.max(min, settings.tickMicros())));
             subperiodMicros = PERIOD_MICROS / subperiods;
         }
 
-        /** Moves on to the present subperiod; a late tick skips what it missed. */
+        /**
+         * Advances to the current subperiod, assigns its credits and sets the next tick; skips missed ones.
+         */
         void advance() {
             while (now - periodStartMicros >= PERIOD_MICROS) {
                 periodStartMicros += PERIOD_MICROS;
@@ -241,13 +243,16 @@
             out.accept(new SetTimer(TICK_TIMER_TOKEN, next > 0 ? next : subperiodMicros));
         }
 
+        /** Returns the milliseconds since the start of the period. */
         int positionMillis() {
             return (int) ((now - periodStartMicros) / 1000);
         }
 
         /**
-         * Takes over the phase of the lowest-numbered peer heard: that needs no common clock. Danger: where
-         * its word of a new period came first, the old one ended unseen and taught nothing; so ticks end it.
+         * Adopts the period and phase of the lowest-numbered fresh peer, so that no common clock is needed.
+         *
+         * <p>A shift of less than a period leaves the end of the period to the next tick, so that it is
+         * evaluated even if a peer's message about the next one arrives first.
          */
         void followPhase(int peerPeriod, int positionMillis) {
             long position = positionMillis * 1000L;
@@ -264,6 +269,7 @@
             }
         }
 
+        /** Computes this balancer's credits of the subperiod from the last states of all fresh peers. */
         private void assignCredits() {
             int balancers = settings.balancers();
             int self = settings.index();
@@ -279,7 +285,7 @@
             for (int i = 0; i < balancers; i++) {
                 PeerStatus status = peers.all[i].state;
                 if (!peers.all[i].fresh) {
-                    continue; // its even share stays aside
+                    continue; // the equal share of a silent peer is reserved
                 }
                 weights[i] = status.queue() == 0 ? weight(1) : status.weight();
                 draws[i] = status.draw();
@@ -289,9 +295,9 @@
                 idle += status.queue() == 0 ? 1 : 0; // credits that an idle peer keeps are not outstanding
                 outOfCredits |= status.queue() > 0 && status.credits() == 0;
             }
-            // Whole credits of fractional ones: an X under one credit a period still buys one now and then.
+            // Carries fractions over periods, so that an X below one credit per period still yields some.
             long total = (long) Math.floor(allowed * (period + 1)) - (long) Math.floor(allowed * period);
-            // Danger: a slow origin would get credits long before it fails; what it holds counts.
+            // Limits outstanding fetches as well, so that a slow origin is not overloaded before it fails.
             double window = allowed * Math.max(budget.targetLatencyMicros(), subperiodMicros) / 1e6;
             long remaining = Math.max(0, total - fetchedByAll);
             long room = (long) Math.ceil(window) + idle - outstanding;
@@ -311,12 +317,12 @@
                     : share(remaining, weights, draws, self);
             double sum = Arrays.stream(weights).sum();
             outstandingCap = (int) Math.max(2, Math.ceil(sum > 0 ? window * weights[self] / sum : window));
-            // Dealt on what was told, and paid from it: of the period what went out, of the room what is out.
+            // The split is based on the last state sent; deducts what has changed since then.
             PeerStatus last = peers.me.state;
             int fetchedSince = fetched - (last.period() == period ? last.fetched() : 0);
             int open = share(room, weights, draws, self) - attempts.originOutstanding + last.outstanding();
-            // Danger: of a hundred, most have no miss when their turn comes. Each keeps one credit for its
-            // next, so that the tier is over a period's allowance by one each at most.
+            // In a large tier most balancers have no miss when a credit falls to them, so each may save one.
+            // The tier exceeds the allowance of a period by at most one credit per balancer.
             savedCredits = contended && wasContended ? Math.min(savedCredits, Math.max(0, credits)) : 0;
             if (contended && held.misses.isEmpty()) {
                 savedCredits = Math.min(1, savedCredits + share);
@@ -326,7 +332,10 @@
                     : held.misses.isEmpty() ? savedCredits : savedCredits + share;
         }
 
-        /** Equation 8 with a ceiling; the surplus of equation 9 goes back by lowest draw, then number. */
+        /**
+         * Returns this balancer's share of {@code total} by weight: equation 8 rounded up. The surplus of
+         * equation 9 is taken back from the lowest draws, ties by index.
+         */
         static int share(long total, double[] weights, int[] draws, int self) {
             double totalWeight = Arrays.stream(weights).sum();
             if (totalWeight <= 0 || total <= 0) {
@@ -348,7 +357,10 @@
             return own > 0 && lowerDraws < surplus ? own - 1 : own;
         }
 
-        /** Equation 10; what F leaves of the subperiod's pace rotates along the weights. */
+        /**
+         * Returns this balancer's credits under contention: F of equation 10, and of the remainder what a
+         * weighted rotation by subperiod ({@code step}) gives it.
+         */
         static int contendedShare(long limit, double perSubperiod, double[] weights, int self, long step) {
             long firstCredit = (long) Math.floor(step * perSubperiod);
             long count = Math.min(limit, (long) Math.floor((step + 1) * perSubperiod) - firstCredit);
@@ -366,16 +378,17 @@
             return own;
         }
 
-        /** Weight of a queued miss (equation 6), zero if it takes longer than a subperiod. */
+        /** Returns the weight of a queued miss (equation 6); 0 if its work takes longer than a subperiod. */
         double weight(double size) {
             return Math.max(0, Math.log10(subperiodMicros / 1e6 * WORK_MICROS_PER_SEC / Math.max(1, size)));
         }
 
+        /** Returns whether a held miss may be fetched now. */
         boolean mayFetch() {
             return credits > 0 && attempts.originOutstanding < outstandingCap;
         }
 
-        /** A write is worth most and may overdraw: its credit is paid from the next share. */
+        /** Returns whether a write may be sent now; it may overdraw credits of the next subperiods. */
         boolean mayWrite() {
             return credits > -outstandingCap && attempts.originOutstanding < 2 * outstandingCap;
         }
@@ -386,13 +399,16 @@
         }
     }
 
-    /** Learns X, the fetches a second that the origin answers in good time, from all balancers' answers. */
+    /**
+     * Estimates X, the fetches per second that the origin answers in time, from the answers that all
+     * balancers report.
+     */
     final class Budget {
         private double allowance;
         private double bestRate;
         private double previousRate;
         private double meanBeforeCut;
-        private double minLatencyMicros = shortestAimMicros / 4.0; // until seen: a usable one is quicker
+        private double minLatencyMicros = shortestAimMicros / 4.0;
         private boolean learned;
         private boolean grewLastPeriod;
         private long answers;
@@ -407,12 +423,17 @@
             allowance = bestRate;
         }
 
-        /** The mean time of an answer up to which X grows: past it misses come too late for their aims. */
+        /** Returns the mean latency up to which X may grow; above it, misses exceed their aims. */
         double targetLatencyMicros() {
             return Math.max(LATENCY_MULTIPLE * minLatencyMicros, AIM_FRACTION * shortestAimMicros);
         }
 
-        /** The lowest of this estimate and of those that fresh peers have learnt, but for the noisiest. */
+        /**
+         * Returns the X to apply: the minimum of this estimate and those of fresh peers, less the outliers.
+         *
+         * <p>An estimate that is not learned yet doesn't bound it where peers have one, so that balancers
+         * that restarted don't hold the tier to their initial value.
+         */
         double effectiveAllowance() {
             double[] heard = Arrays.stream(peers.all)
                     .filter(peer -> peer != peers.me)
@@ -421,21 +442,26 @@
                     .sorted()
                     .toArray();
             double lowest = heard.length == 0 ? Double.MAX_VALUE : heard[heard.length / OUTLIER_DIVISOR];
-            // Danger: most restart at once, and what they have not learnt yet would bind them and then all.
             return learned || lowest == Double.MAX_VALUE ? Math.min(allowance, lowest) : lowest;
         }
 
+        /** Counts an ended fetch. Neither a failed connection nor a short client deadline shows overload. */
         void recordOutcome(Outcome outcome, long latencyMicros) {
             if (outcome == Outcome.SERVED) {
                 answers++;
                 latencyMillis += latencyMicros / 1000;
-            } else if (outcome == Outcome.FULL // no connection is the link's fault, and no sign of load
+            } else if (outcome == Outcome.FULL
                     || outcome == Outcome.TIMED_OUT && latencyMicros > LATENCY_MULTIPLE * minLatencyMicros) {
-                failures++; // nor is a time-out where the client had too little time left for any answer
+                failures++;
             }
         }
 
-        /** Once a period, on what all fresh peers saw: one sees too little. What failed counts as slow. */
+        /**
+         * Updates X at the end of a period from the answers of all fresh peers; failures count as slow
+         * answers.
+         *
+         * @param allowanceBound whether fetches were limited by credits in that period
+         */
         void endPeriod(boolean allowanceBound) {
             long answered = 0;
             long totalMillis = 0;
@@ -455,13 +481,13 @@
                     : 0;
             allowance = Math.min(
                     learned ? allowance : Math.max(allowance, effectiveAllowance()),
-                    effectiveAllowance() * GROWTH); // to test a peer's
-            double peak = Math.max(answerRate, previousRate); // one period alone may have been a thin one
+                    effectiveAllowance() * GROWTH); // may exceed a peer's estimate to test it
+            double peak = Math.max(answerRate, previousRate); // a single period may have had few requests
             boolean measured = answered + failed > Math.min(1, allowance / 2);
             boolean tested = measured && allowanceBound && answered > 0;
             boolean slow = measured && meanMicros > targetMicros;
-            // Danger: a slowed origin looks like a queue, and cuts would go on to nothing. Where fewer out
-            // cost rate rather than time, the time is its own.
+            // If a cut lowered the rate more than the latency, the origin itself has become slow; further
+            // cuts would reduce X without end.
             double rateRatio = answerRate / previousRate;
             double latencyRatio = meanMicros / meanBeforeCut;
             boolean slowed = slow
@@ -473,13 +499,13 @@
             meanBeforeCut = slow && !slowed ? meanMicros : 0;
             if (slow && !slowed) {
                 if (grewLastPeriod) {
-                    bestRate = Math.min(bestRate, allowance); // a step up that was too much
+                    bestRate = Math.min(bestRate, allowance); // the last increase was too large
                 }
                 allowance = Math.max(1, Math.min(allowance, Math.max(CUT_FACTOR * peak, allowance / 2)));
-                log("origin slow: allowance down to " + Math.round(allowance) + " fetches a second");
+                log("origin slow: allowance reduced to " + Math.round(allowance) + " fetches per second");
             } else if (measured) {
                 bestRate = Math.max(1, Math.max(tested ? bestRate * BEST_RATE_DECAY : bestRate, answerRate));
-                // Half of the way back to what it has answered before, past that by how quick it is.
+                // Recovers half of the distance to the best rate; above it, grows with the latency reserve.
                 double next = allowance * Math.min(GROWTH, Math.sqrt(targetMicros / meanMicros));
                 next = slowed ? peak : allowance < CUT_FACTOR * bestRate ? (allowance + bestRate) / 2 : next;
                 allowance = Math.min(
@@ -496,7 +522,10 @@
         }
     }
 
-    /** Tells and hears figures; a silent peer has no say, but its even share of the allowance stays aside. */
+    /**
+     * Exchanges states with the other balancers. A silent peer's state is ignored, but its equal share of the
+     * allowance stays reserved.
+     */
     final class Peers {
         final Peer[] all = new Peer[settings.balancers()];
         final Peer me;
@@ -510,7 +539,7 @@
             me.incarnation = random.nextInt(1 << 16);
         }
 
-        /** Marks who is fresh, and counts them, this balancer included. */
+        /** Updates which peers are fresh and returns their number, including this balancer. */
         int refreshAndCount() {
             int freshPeers = 0;
             for (Peer peer : all) {
@@ -520,7 +549,7 @@
             return freshPeers;
         }
 
-        /** Sends on change, in quiet times only heartbeats: messages cost with the square of the fleet. */
+        /** Sends this balancer's state after changes, otherwise as a heartbeat once a period. */
         void sendIfDue() {
             PeerStatus last = me.state;
             boolean busy = held.queued() > 0 || last.queue() > 0 || ledger.contended || ledger.credits <= 1;
@@ -530,7 +559,7 @@
                     || ledger.period != last.period();
             long idleGapMicros = attempts.jobs.isEmpty() ? PERIOD_MICROS / 2 : LOAD_MESSAGE_GAP_MICROS;
             long gapMicros = !changed ? PERIOD_MICROS : busy ? ledger.subperiodMicros / 2 : idleGapMicros;
-            // Danger: each hears all others, and what a few tell freely costs a hundred a tenth of the worth.
+            // Bounds the cost of messages, which grows with the square of the number of balancers.
             double cost = (all.length - 1) * settings.prices().peer() * lastBytes / CacheLoads.MAX_BYTES;
             double requestsPerMicro = Math.max(1, slots.counts.total()) / (1.5 * COUNT_HALF_LIFE_MICROS);
             double costGapMicros = Math.min(PERIOD_MICROS, cost / (MESSAGE_COST_FRACTION * requestsPerMicro));
@@ -538,7 +567,7 @@
             if (me.heardMicros != NEVER && now < me.heardMicros + gapMicros) {
                 return;
             }
-            // Danger: told in step, all hear of a queue at once, leave it, and come back at the next word.
+            // Jitter keeps balancers from sending in step, and so from reacting to a queue all at once.
             me.heardMicros = now + (long) ((random.nextDouble() - 0.5) * costGapMicros);
             me.state = new PeerStatus(
                     ledger.period,
@@ -561,6 +590,7 @@
             out.accept(new TellPeer(TellPeer.EVERYONE, me.state.encode(me.incarnation, ++me.sequence, load)));
         }
 
+        /** Accepts a peer's message; drops malformed, repeated and reordered ones. */
         void receive(int from, byte[] raw) {
             if (from < 0
                     || from >= all.length
@@ -577,7 +607,7 @@
             Peer peer = all[from];
             boolean known = peer.heardMicros != NEVER && incarnation == peer.incarnation;
             if (!state.isPlausible() || known && sequence <= peer.sequence) {
-                return; // foreign, repeated or overtaken
+                return; // not a plausible state, or repeated or reordered
             }
             peer.store(incarnation, sequence, now, state, Arrays.copyOfRange(raw, in.position(), raw.length));
             for (int i = 0; i < from; i++) {
@@ -589,7 +619,10 @@
         }
     }
 
-    /** Slot map by highest hash among the ready caches; each has a part of its slots by size and warmth. */
+    /**
+     * Maps keys to slots and slots to caches by highest-random-weight hashing, and tracks the health of the
+     * listed servers. A cache serves a part of its slots, by its size and warm-up.
+     */
     final class SlotMap {
         private final List<Cache> servers = new ArrayList<>();
         private final Map<Long, Cache> serversById = new HashMap<>();
@@ -600,7 +633,7 @@
         private final long[] rankScores = new long[SLOTS * SLOT_CACHES];
         private Cache origin;
         private final KeyCounts counts = new KeyCounts(COUNTERS_PER_ROW);
-        private final boolean liveSizes = settings.weights() == Weights.LIVE; // then sizes fall with load
+        private final boolean liveSizes = settings.weights() == Weights.LIVE;
         private double capacity;
         private double meanLoad;
         private double peakWork;
@@ -609,7 +642,7 @@
         private long lastHalvedMicros = NEVER;
         private long lastAnswerMicros = NEVER / 2;
 
-        /** Takes a list in; slots are ranked anew only where caches came or went. */
+        /** Applies a server list; recomputes only the slots that added or removed caches change. */
         void applyList(ServerList list) {
             Set<Cache> seen = new HashSet<>();
             Set<Cache> added = new LinkedHashSet<>();
@@ -631,7 +664,7 @@
                     }
                 }
                 if (s.startedMicros() != cache.startedMicros) {
-                    cache.restore(); // what was held against the process before is void
+                    cache.restore(); // a restarted process starts healthy
                     cache.tokens = random.nextDouble();
                     cache.concurrencyLimit = Math.min(cache.concurrencyLimit, INITIAL_CONCURRENCY_LIMIT);
                 }
@@ -641,7 +674,7 @@
             for (Cache cache : List.copyOf(servers)) {
                 cache.running &= list.kind() == ListKind.CHANGES || seen.contains(cache);
                 if (cache.running) {
-                    continue; // draining or gone: nothing new from now on, the grace is not used
+                    continue; // a draining server gets no new attempts, not even within its grace time
                 }
                 if (cache.origin) {
                     attempts.originOutstanding = 0;
@@ -663,7 +696,7 @@
             updateShares();
         }
 
-        /** Who came is put in place in each slot; only slots that held one that went are ranked from all. */
+        /** Inserts added caches in each slot's ranking; ranks slots of removed caches from all caches. */
         private void updateRanking(Set<Cache> added, Set<Cache> removed) {
             for (int slot = 0; slot < SLOTS && !(added.isEmpty() && removed.isEmpty()); slot++) {
                 int base = slot * SLOT_CACHES;
@@ -685,6 +718,7 @@
             }
         }
 
+        /** Inserts a cache in the ranking of a slot whose first entry is at {@code base}. */
         private void insertRanked(int slot, int base, Cache cache) {
             long score = Hash.mix(slot * 0x9e3779b97f4a7c15L + cache.id) >>> 1;
             if (score <= rankScores[base + SLOT_CACHES - 1]) {
@@ -699,11 +733,15 @@
             rankScores[rank] = score;
         }
 
+        /** Returns a cache's size; where sizes fall with load, the largest seen of its kind. */
         private double sizeOf(Cache cache) {
             return liveSizes ? largestSizeByKind.getOrDefault(cache.kind, cache.size) : cache.size;
         }
 
-        /** Each cache's part of its slots: its size against the largest, times how warm it is at least. */
+        /**
+         * Updates each cache's part of its slots (relative size times warm-up), the loads and the cold
+         * tokens.
+         */
         private void updateShares() {
             double largest = 0;
             double work = 0;
@@ -737,11 +775,11 @@
                 capacity += cache.part;
             }
             meanLoad = capacity > 0 ? totalLoad / capacity : 0;
-            // Danger: misses come back fast, so a cold cache looks idle and would draw all until it falls.
-            // It gets no more than its part of what warm ones get, times a part of that multiple.
+            // A cold cache answers misses quickly and would look idle; tokens bound what it is sent to its
+            // part of the work of warm caches, times a fraction of the multiple at which it falls.
             double decay = Math.exp(-(double) ledger.subperiodMicros / COUNT_HALF_LIFE_MICROS);
             double coldMultiple = COLD_LOAD_FRACTION * settings.rules().fallMultiple();
-            // Danger: warm ones that are crowded answer less, and cold ones would get less just then.
+            // The peak decays slowly, as overloaded warm caches complete less work.
             peakWork = Math.max(peakWork * (1 - (1 - decay) / 8), capacity > 0 ? work / capacity : 0);
             double fill = peakWork * (1 - decay) * coldMultiple;
             for (Cache cache : servers) {
@@ -756,7 +794,7 @@
                     && now - cache.startedMicros < settings.rules().coldMicros();
         }
 
-        /** The part of its capacity that a cache has at least, growing evenly since its start. */
+        /** Returns the fraction of its capacity that a cache has, growing linearly since its start. */
         private double warmth(Cache cache) {
             double initialCapacity = settings.rules().coldCapacity();
             double ageMicros = Math.max(0, now - cache.startedMicros);
@@ -770,6 +808,7 @@
                     : 1;
         }
 
+        /** Suspects caches that have been silent too long, and updates the shares. */
         void tick() {
             if (lastHalvedMicros == NEVER || now - lastHalvedMicros >= COUNT_HALF_LIFE_MICROS) {
                 lastHalvedMicros = now;
@@ -777,7 +816,7 @@
             }
             double silence = silenceMicros();
             for (Cache cache : servers) {
-                // Danger: a vanished machine sends no reset; each request to it would wait out its time.
+                // A host that vanished sends no reset; without this each request would wait for its timeout.
                 boolean silentTooLong =
                         cache.unanswered >= SUSPECT_UNANSWERED && now - cache.silentSinceMicros >= silence;
                 if (!silentTooLong || cache.suspect || cache.origin || hearsNobody()) {
@@ -793,12 +832,14 @@
             return Math.max(SILENCE_LATENCY_MULTIPLE * hitMicros, shortestAimMicros / 2.0);
         }
 
-        /** Danger: a balancer that is held up itself hears nobody, and would put every server out of use. */
+        /**
+         * Returns whether no server has answered lately: then this balancer may be stalled, not the servers.
+         */
         private boolean hearsNobody() {
             return now - lastAnswerMicros >= silenceMicros() / 2;
         }
 
-        /** Counts a request for the key and gives how many caches shall serve it. */
+        /** Counts a request for the key and returns how many caches serve it. */
         int recordAndGetSpread(long key) {
             return (int) Math.max(1, Math.min(SLOT_CACHES, Math.ceil(counts.add(key) * capacity / HOT_PART)));
         }
@@ -807,6 +848,7 @@
             return cache.suspect || cache.zone.down;
         }
 
+        /** Returns whether a request may be sent to the cache now; false for null. */
         boolean isUsable(Cache cache) {
             return cache != null && cache.running && !isOutOfUse(cache) && hasRoom(cache);
         }
@@ -818,8 +860,8 @@
         }
 
         /**
-         * The part of its slots that a cache keeps. Danger: each balancer has little out where a queue is
-         * long, as keys fall alike at all. The same slots go to the next cache at each, and find keys there.
+         * Returns the fraction of its slots that an overloaded cache keeps. The same slots move to the next
+         * cache at every balancer, so that their keys are cached there.
          */
         private double retainedSlotFraction(Cache cache) {
             double threshold = OVERLOAD_MULTIPLE * meanLoad * cache.part + OVERLOAD_SLACK;
@@ -828,7 +870,13 @@
                     : 1;
         }
 
-        /** The cache for a key: its slot's first, or of {@code spread} the least busy; null to wait. */
+        /**
+         * Returns the cache for a key: the least loaded of the first {@code spread} usable caches of its
+         * slot.
+         *
+         * @param avoided a cache to skip, or null
+         * @return null if the request has to wait
+         */
         Cache chooseCache(long key, int spread, Cache avoided) {
             int slot = (int) (Hash.mix(key) & SLOTS - 1);
             int candidates = 0;
@@ -844,15 +892,15 @@
                     return cache;
                 }
                 fallback = cache;
-                // A part of the slots, not of time: the same ones at every balancer, and few move.
+                // Decides by a hash of the slot, so that every balancer skips the same slots of a cache.
                 double position = (Hash.mix(slot * 31L ^ cache.id * 0x9e3779b97f4a7c15L) >>> 11) * 0x1p-53;
                 if (position >= cache.part * retainedSlotFraction(cache)) {
                     continue;
                 }
                 if (isCold(cache) && cache.tokens < 1) {
-                    continue; // the next one takes what a cold cache can't
+                    continue; // out of tokens: the next cache takes it
                 }
-                // Danger: one that turns away all, with nothing of ours there, keeps its keys waiting for it.
+                // Keys must not wait for a cache that refuses all requests.
                 if (now < cache.backoffUntilMicros && cache.outstanding == 0 && cache.concurrencyLimit < 2) {
                     continue;
                 }
@@ -876,7 +924,10 @@
             return isUsable(fallback) ? fallback : null;
         }
 
-        /** Whether a request may try a server out of use: one now and then, so that its return is noticed. */
+        /**
+         * Returns whether a request may be sent to a server out of use as a trial, and schedules the next
+         * one.
+         */
         boolean startTrial(Cache cache) {
             if (now < (cache.zone.down ? cache.zone.nextTrialMicros : cache.nextTrialMicros)) {
                 return false;
@@ -886,14 +937,19 @@
             return true;
         }
 
-        /** Health from outcomes: any answer clears a server, silence and no connection speak against it. */
+        /**
+         * Updates a server's health, load and concurrency limit after an attempt. Any answer clears
+         * suspicion; timeouts, failed connections and a high error rate raise it.
+         *
+         * @param aimMicros time within which the answer was wanted
+         */
         void recordOutcome(Cache cache, AttemptEnded event, double aimMicros) {
             Outcome outcome = event.outcome();
             long latencyMicros = event.latencyMicros();
             cache.outstanding = Math.max(0, cache.outstanding - 1);
             boolean noAnswer = outcome == Outcome.TIMED_OUT || outcome == Outcome.NOT_CONNECTED;
             boolean served = outcome == Outcome.SERVED;
-            boolean failed = outcome == Outcome.ERROR; // a reset says more of the connection
+            boolean failed = outcome == Outcome.ERROR; // a reset concerns the connection
             if (!cache.origin && (failed || served || outcome == Outcome.MISS)) {
                 cache.updateErrorRate(failed);
             }
@@ -905,13 +961,13 @@
             } else if (served && !slow && cache.load() + 1 >= cache.concurrencyLimit) {
                 cache.concurrencyLimit += 1 / cache.concurrencyLimit;
             }
-            // Danger: what is turned away or times out is no measure of what a cache takes.
+            // Refusals and timeouts don't count as work that the cache can do.
             cache.recentWork += served ? 1 : outcome == Outcome.MISS ? MISS_COST : 0;
             if (outcome == Outcome.MISS) {
                 cache.recentSent -= Math.min(cache.recentSent, 1 - MISS_COST);
             }
             if (outcome == Outcome.MISS) {
-                cache.tokens += 1 - MISS_COST; // what it cost, not what it might have
+                cache.tokens += 1 - MISS_COST; // refunds the difference to a hit
             }
             if (outcome == Outcome.FULL) {
                 cache.waitMicros =
@@ -934,7 +990,7 @@
                     markSuspect(cache);
                 }
             } else if (outcome != Outcome.CANCELLED && outcome != Outcome.NOT_SENT) {
-                // A link is back: each server behind it would else wait for a trial of its own.
+                // The zone is reachable again: restores all of its servers at once.
                 if (cache.zone.down) {
                     for (Cache other : servers) {
                         if (other.zone == cache.zone) {
@@ -945,9 +1001,9 @@
                 cache.recordAnswer(now);
                 lastAnswerMicros = now;
                 if (cache.suspect && !failed) {
-                    cache.nextTrialMicros = now; // one more trial tells whether it serves again
+                    cache.nextTrialMicros = now; // the next trial shows whether it serves
                 }
-                // Danger: one that fails at once looks idle, and draws its requests till their tries end.
+                // A cache that fails quickly looks idle and would draw requests until their attempts run out.
                 if (failed && cache.errorRate > SUSPECT_ERROR_RATE && !cache.origin && mostServersUsable()) {
                     markSuspect(cache);
                 }
@@ -957,48 +1013,52 @@
             }
         }
 
-        /** Errors everywhere are no server's own: out of use, they would only crowd the rest. */
+        /** Returns whether most servers are in use; errors at most of them have a common cause. */
         private boolean mostServersUsable() {
             return servers.stream().filter(this::isOutOfUse).count() < servers.size() / 2;
         }
 
-        /** Danger: trials of many balancers, in step, would push a cache over when it is back. */
+        /**
+         * Sets the next trial; jitter and a longer gap in large tiers keep a recovering cache from overload.
+         */
         private void scheduleTrial(Cache cache) {
             double factor = Math.max(1, settings.balancers() / TRIAL_PEERS) * (0.5 + random.nextDouble() / 2);
             cache.nextTrialMicros = now + (long) (scale * cache.trialGapMicros * factor);
         }
 
+        /** Takes a server out of use, and its zone if several servers there are silent. */
         private void markSuspect(Cache cache) {
             if (cache.suspect) {
                 cache.trialGapMicros = Math.min(2 * cache.trialGapMicros, MAX_TRIAL_GAP_MICROS);
             } else {
                 log("server " + cache.id + (cache.errorRate > SUSPECT_ERROR_RATE ? " fails" : " is silent")
-                        + ": out of use");
+                        + ": out of rotation");
             }
             cache.markSuspect();
             scheduleTrial(cache);
-            // Danger: behind a cut link every server would have to fail by itself, one time-out each.
+            // Behind a partition, servers need not time out one by one.
             boolean zoneSilent = now - cache.zone.heardMicros > PERIOD_MICROS / 2;
             if (!cache.zone.down && zoneSilent && cache.zone.suspects >= SUSPECT_UNANSWERED) {
                 cache.zone.down = true;
                 cache.zone.nextTrialMicros = now + (long) (scale * TRIAL_GAP_MICROS);
-                log("nothing answers in a whole zone: its servers are out of use");
+                log("nothing answers in a whole zone: its servers are out of rotation");
             }
         }
     }
 
-    /** Misses and writes that wait for credits, and requests that wait for room at a cache. */
+    /** Holds misses and writes that wait for credits, and requests that wait for room at a cache. */
     final class HeldRequests {
         private final List<HeldMiss> misses = new ArrayList<>();
         private final List<Job> writes = new ArrayList<>();
         private final List<Job> awaitingRoom = new ArrayList<>();
 
-        /** Fetches wanted: one a key, since a fetch serves all that wait for it. */
+        /** Returns the number of fetches that wait: one per key, as one fetch serves all its requests. */
         int queued() {
             return writes.size()
                     + (int) misses.stream().filter(HeldMiss::needsFetch).count();
         }
 
+        /** Returns the summed weight (equation 6) of the waiting fetches. */
         double totalWeight() {
             double sum = writes.stream()
                     .mapToDouble(job -> ledger.weight(job.request.workMicros()))
@@ -1009,6 +1069,11 @@
             return sum;
         }
 
+        /**
+         * Holds a request after a miss until its key is fetched.
+         *
+         * @param fetchedElsewhere whether the cache reported that the key is being fetched
+         */
         void holdMiss(Job job, boolean fetchedElsewhere) {
             HeldMiss miss = job.heldMiss;
             for (HeldMiss candidate : misses) {
@@ -1017,15 +1082,15 @@
             if (miss == null) {
                 miss = new HeldMiss(job.key, now);
                 misses.add(miss);
-                // Danger: balancers that all miss a key would all fetch it. Each waits its turn, by key and
-                // number; who has waited asks the cache again before it buys.
+                // Keeps balancers that miss a key at the same time from all fetching it: under contention
+                // each waits by a hash of key and index, and asks the cache again before it fetches.
                 double size = settings.balancers();
                 double lag = Long.remainderUnsigned(Hash.mix(job.key) + settings.index(), (long) size) / size;
                 double latencies = size == 1 ? 0 : (fetchedElsewhere ? 1 : 0) + (ledger.contended ? lag : 0);
                 miss.eligibleMicros += (long) (latencies * budget.minLatencyMicros);
             }
             if (miss.leader == job) {
-                miss.leader = null; // asked again in vain: now it is for a credit
+                miss.leader = null; // the cache still lacks it: a fetch needs a credit
             }
             if (job.heldMiss == null) {
                 miss.jobs.add(job);
@@ -1046,7 +1111,7 @@
             refuseIfDue(job);
         }
 
-        /** Danger: a client's last try may have less time left than to the next tick, and be lost. */
+        /** Answers a request at once if its hold deadline is before the next tick. */
         void refuseIfDue(Job job) {
             boolean due = job.holdDeadlineMicros() < now + ledger.subperiodMicros + settings.tickMicros();
             if (due && job.currentServer == null) {
@@ -1054,7 +1119,7 @@
             }
         }
 
-        /** Spends what credits there are: writes first, then the key whose waiters are worth most. */
+        /** Sends held fetches while credits last: writes first, then keys by the worth of their requests. */
         void releaseFetches() {
             Cache origin = slots.origin;
             if (origin == null || slots.isOutOfUse(origin) && !(queued() > 0 && slots.startTrial(origin))) {
@@ -1075,10 +1140,10 @@
                 if (best == null) {
                     return;
                 }
-                // The one with least time takes the answer of the fetch, the others ask the cache after it.
+                // The most urgent request takes the fetch; the others ask the cache afterwards.
                 Job leader = best.mostUrgent();
                 boolean stale = now - best.heldSinceMicros >= budget.minLatencyMicros;
-                // Another balancer may have filled the cache meanwhile: asking again costs no credit.
+                // Another balancer may have filled the cache meanwhile; asking it needs no credit.
                 boolean recheck = stale
                         && peers.all.length > 1
                         && !leader.recheckedCache
@@ -1097,7 +1162,7 @@
             }
         }
 
-        /** A request was served: what else waits for its key finds the object where that one missed. */
+        /** Ends a served request; the others that wait for its key go to the cache that it missed at. */
         void completeFetch(Job job) {
             HeldMiss miss = job.heldMiss;
             remove(job);
@@ -1116,7 +1181,7 @@
             }
         }
 
-        /** Takes a request out of what it waits in; a key that loses its leader waits for another credit. */
+        /** Removes a request from all queues; a key that loses its leader waits for another credit. */
         void remove(Job job) {
             HeldMiss miss = job.heldMiss;
             if (miss != null) {
@@ -1132,7 +1197,7 @@
             awaitingRoom.remove(job);
         }
 
-        /** A cache has room again: of those that wait for it, what is worth most goes first. */
+        /** Sends the most urgent request that waits for the cache, if it has room. */
         void resumeOne(Cache cache) {
             Job best = awaitingRoom.stream()
                     .filter(job -> job.awaited == cache)
@@ -1145,14 +1210,16 @@
             attempts.sendToCache(best);
         }
 
+        /**
+         * Orders by worth at the expected answer time, then by deadline, so that overload delays only some.
+         */
         private int compareUrgency(Job first, Job second) {
-            // Danger: first come, first served, all are late where more come than can be served.
             long answerMicros = now + (long) slots.hitMicros;
             int byWorth = Double.compare(second.worthAt(answerMicros), first.worthAt(answerMicros));
             return byWorth != 0 ? byWorth : Long.compare(first.usefulUntilMicros, second.usefulUntilMicros);
         }
 
-        /** Answers what can no longer be served in time, while a refusal still spares the client a wait. */
+        /** Answers requests that can no longer be served in time, and retries those that wait for room. */
         void tick() {
             long nextTickMicros = now + ledger.subperiodMicros + settings.tickMicros();
             double fetchedMicros = nextTickMicros + budget.minLatencyMicros;
@@ -1183,14 +1250,16 @@
         }
     }
 
-    /** Sends, judges outcomes and gives final answers, within the effect rules. */
+    /** Sends attempts, handles their outcomes and gives final answers, within the effect rules. */
     final class Attempts {
-        private final Map<String, Job> jobs = new LinkedHashMap<>(); // hash order must decide nothing
+        private final Map<String, Job> jobs = new LinkedHashMap<>(); // in order of arrival, for determinism
         private final RequestClass unknownClass =
                 new RequestClass("", 0, 0, 1, Effect.UNSAFE, Group.CELL, 0, 0, 0, false);
         int originOutstanding;
-        private double clientPatience = 1; // part of its aim that a client leaves: it may give up long before
+        /** Mean fraction of their aim that clients wait; their deadline may be shorter. */
+        private double clientPatience = 1;
 
+        /** Takes in a request and sends or holds its first attempt. */
         void admit(Request event) {
             RequestClass type = classes.getOrDefault(event.requestClass(), unknownClass);
             Job job = new Job(event, type, now);
@@ -1208,12 +1277,14 @@
             }
         }
 
-        /** Asks the key's cache, or parks the request while there is no room. */
+        /** Sends the request to its key's cache, or holds it while there is no room. */
         void sendToCache(Job job) {
-            // A wait for a quarter of the time there is makes the next cache of the slot worth a fetch.
+            // After a quarter of its time a request may go to the next cache of its slot, at the cost of a
+            // fetch.
             boolean waitedLong = now - job.arrivedMicros > (job.usefulUntilMicros - job.arrivedMicros) / 4;
             int spread = job.spread + (waitedLong ? 1 : 0);
-            // Danger: what can't be back in time costs a cache the same work, and comes again with less.
+            // A request that can't be answered in time would cost the same work and be retried with less
+            // time.
             long left = job.usefulUntilMicros - now;
             if (left < slots.answerMicros && job.attempts == 0 && job.requestClass.effect() == Effect.SAFE) {
                 refuseOrFail(job);
@@ -1228,12 +1299,17 @@
                 held.hold(job, held.awaitingRoom);
             } else {
                 boolean suspected = slots.isOutOfUse(cache) || cache.unanswered >= SUSPECT_UNANSWERED;
-                // Danger: less than an answer takes, and none that is back could ever show it.
+                // Allows at least the time of an answer, or a recovered server would never show it.
                 long timeoutMicros = (long) Math.max(SUSPECT_TIMEOUT_MULTIPLE * slots.hitMicros, left / 3.0);
                 send(job, cache, suspected ? Math.max(1, Math.min(timeoutMicros, left)) : 0);
             }
         }
 
+        /**
+         * Sends an attempt if the effect rules allow it, and ends the request otherwise.
+         *
+         * @param timeoutMicros 0 for the default timeout
+         */
         void send(Job job, Cache server, long timeoutMicros) {
             if (!maySend(job, server)) {
                 refuseOrFail(job);
@@ -1244,13 +1320,16 @@
             job.sentMicros = now;
             server.recordSent(now);
             originOutstanding += server.origin ? 1 : 0;
-            // Past its aim an answer may be worth nothing: an attempt that may be repeated ends there.
+            // An attempt that is safe to repeat ends when its answer becomes worthless.
             boolean capped = job.requestClass.effect() == Effect.SAFE && !server.origin && timeoutMicros == 0;
             long timeout = capped ? Math.max(1, job.usefulUntilMicros - now) : timeoutMicros;
             out.accept(new Send(job.request.id(), server.id, timeout));
         }
 
-        /** Danger: an effect twice. After one that may have run only the class's repeats are harmless. */
+        /**
+         * Returns whether a further attempt is allowed. After one that may have run, only those that the
+         * class allows to repeat, so that no effect happens twice.
+         */
         private boolean maySend(Job job, Cache server) {
             boolean spent = now >= job.request.deadlineMicros() || job.attempts >= maxAttempts;
             if (spent || job.currentServer != null) {
@@ -1269,6 +1348,7 @@
                     };
         }
 
+        /** Handles the end of an attempt, which may belong to a request that is over. */
         void complete(AttemptEnded event) {
             Job job = jobs.get(event.request());
             Cache server = job != null && job.currentServer != null
@@ -1315,7 +1395,7 @@
                 job.heldMiss = null;
                 job.awaited = server;
                 job.avoidedCache = server.errorRate > HEALTHY_ERROR_RATE ? server : null;
-                // Danger: asking on at once after a full answer is a storm that fills every cache.
+                // Holding after a FULL answer keeps retries from overloading all caches.
                 if (!maySend(job, server)) {
                     refuseOrFail(job);
                 } else if (server.origin) {
@@ -1328,7 +1408,9 @@
             }
         }
 
-        /** The final answer of a request that is not served: a refusal wherever that is allowed. */
+        /**
+         * Gives the final answer of an unserved request: a refusal if a retry is harmless, else a failure.
+         */
         void refuseOrFail(Job job) {
             if (jobs.remove(job.request.id()) == null) {
                 return;
@@ -1337,14 +1419,14 @@
             boolean harmless = job.firstRunMicros == NEVER
                     || job.requestClass.effect() == Effect.SAFE
                     || job.requestClass.effect() == Effect.KEYED && job.requestClass.group() == Group.ALL;
-            // Its aim is past by the time a retry could be served: the longest advice keeps that load away.
+            // A retry could not be served within the aim, so the longest delay is advised.
             long retryMicros =
                     settings.limits().retryAfter() ? settings.limits().maxRetryAfterMicros() : 0;
             String id = job.request.id();
             out.accept(harmless && job.currentServer == null ? new Refuse(id, retryMicros) : new Fail(id));
         }
 
-        /** Calls off what waits at a silent cache, so that it can go elsewhere while there is time. */
+        /** Cancels repeatable attempts at a silent cache, so that they can be sent elsewhere in time. */
         void cancelAttemptsAt(Cache cache) {
             if (!settings.limits().mayCancel()) {
                 return;
@@ -1357,24 +1439,25 @@
         }
     }
 
-    /** Keeps up with the server list: hears it where it is pushed, watches it where it must be asked for. */
+    /** Keeps the server list current, with a watch where the list isn't pushed. */
     final class Membership {
         private final boolean mustWatch = settings.membership() == Decisions.Membership.ASK;
         private boolean watching;
         private long nextWatchMicros;
         private long gapMicros;
 
+        /** Starts a watch if none is running and the retry delay is over. */
         void tick() {
             if (!mustWatch || watching || now < nextWatchMicros) {
                 return;
             }
-            watching = true; // until the call is said to have failed
+            watching = true; // until a list event reports a failure
             out.accept(new WatchServers(true));
         }
 
         void applyList(ServerList list) {
             if (list.kind() == ListKind.FAILED) {
-                // Danger: all asking again at once keep the list service down; each waits its own time.
+                // Jitter keeps balancers from all retrying at once after an outage.
                 watching = false;
                 gapMicros = (long) Math.max(MIN_RETRY_MICROS, Math.min(GROWTH * gapMicros, MAX_RETRY_MICROS));
                 nextWatchMicros = now + (long) ((0.5 + random.nextDouble() / 2) * gapMicros);
