--- a/balancer/src/main/java/merlinstep/Decisions.java
+++ b/balancer/src/main/java/merlinstep/Decisions.java
@@ -3,109 +3,149 @@
 import java.util.List;
 
 /**
- * The whole interface of the decision module: what it is told at start ({@link Settings}), what it hears
- * ({@link Event}), what it may order ({@link Action}) and the one entry point, {@link #decide}.
+ * Interface of the decision module: its {@link Settings}, the {@link Event}s that it receives, the {@link Action}s that
+ * it requests, and the one entry point, {@link #decide}.
  *
- * <p>An embedder creates one {@code Decisions} for each balancer, hands it every event with the clock time at which
- * it happened, and carries out what comes to the sink, in order. Times are microseconds of one monotonic clock of
- * any origin. An instance keeps no threads and reads neither clock nor files; it is not safe for concurrent use.
+ * <p>An embedder creates one instance per balancer, passes every event to it with the time at which the event happened,
+ * and carries out the actions in the order in which the sink receives them. Times are microseconds of one monotonic
+ * clock of any origin. An instance starts no threads and reads neither clock nor files. Not safe for concurrent use.
  */
 public interface Decisions {
 
-    /** Takes one event in and gives the actions that follow from it, in order, to {@code sink}. */
+    /**
+     * Handles one event.
+     *
+     * @param nowMicros time of the event; never less than that of the event before
+     * @param sink receives the resulting actions, in order, before this method returns
+     */
     void decide(long nowMicros, Event event, Sink sink);
 
-    /** Starts an instance that knows nothing but {@code settings}. */
+    /** Returns a new instance without any state but its settings. */
     static Decisions start(Settings settings) {
         return new Rules(settings);
     }
 
-    /** Takes the actions of an instance, in the order in which they shall be carried out. */
+    /** Receives the actions of an instance in the order in which they are to be carried out. */
     @FunctionalInterface
     interface Sink {
+        /** Receives the next action. */
         void accept(Action action);
     }
 
-    /** How an attempt ended; {@link #provesNothingRan} is what the effect rules need of it. */
+    /** Outcome of an attempt. */
     enum Outcome {
+        /** The server answered the request. */
         SERVED(false),
+        /** The server answered with an error. */
         ERROR(false),
+        /** The server refused the request unprocessed, for lack of capacity. */
         FULL(true),
+        /** No answer within the timeout. */
         TIMED_OUT(false),
+        /** No connection could be established. */
         NOT_CONNECTED(true),
+        /** The connection broke before the answer was complete. */
         RESET(false),
+        /** Cancelled with {@link Cancel}. */
         CANCELLED(false),
+        /** The request was never sent. */
         NOT_SENT(true),
+        /** The cache lacks the key and did not fetch it. */
         MISS(true);
 
-        private final boolean unrun;
+        private final boolean nothingRan;
 
-        Outcome(boolean unrun) {
-            this.unrun = unrun;
+        Outcome(boolean nothingRan) {
+            this.nothingRan = nothingRan;
         }
 
+        /** Returns whether the server has certainly not processed the request. */
         public boolean provesNothingRan() {
-            return unrun;
+            return nothingRan;
         }
     }
 
-    /** Whether a request of a class may run more than once. */
+    /** Whether a request of a class may be processed more than once. */
     enum Effect {
+        /** Any number of times. */
         SAFE,
+        /** Only by servers of its {@link Group}, which drop repeats of its key. */
         KEYED,
+        /** At most once. */
         UNSAFE
     }
 
-    /** Which servers drop the repeat of a keyed request. */
+    /** The servers that drop the repeat of a {@link Effect#KEYED} request. */
     enum Group {
+        /** Every server. */
         ALL,
+        /** Servers in the zone of the first attempt. */
         ZONE,
+        /** Servers in the cell of the first attempt. */
         CELL
     }
 
-    /** Whether the server list arrives by itself or has to be asked for. */
+    /** How the server list arrives: pushed, or through a watch that has to be requested. */
     enum Membership {
         PUSH,
         ASK
     }
 
-    /** How load reports arrive. */
+    /** How load reports of servers arrive: with each answer, with the answers to {@link Probe}s, or not at all. */
     enum Reports {
         WITH_ANSWERS,
         WITH_PROBES,
         NONE
     }
 
-    /** What the size of a listed server means. */
+    /** Meaning of the size of a listed server. */
     enum Weights {
+        /** None: sizes are ignored. */
         NONE,
+        /** Its nominal capacity. */
         NOMINAL,
+        /** An approximate capacity. */
         ROUGH,
+        /** Its free capacity, which falls with load. */
         LIVE
     }
 
-    /** What a server does with a request whose key it lacks: fetch it itself, or answer with a miss. */
+    /** What a cache does on a miss: fetch from the origin (read-through), or answer with a miss (cache-aside). */
     enum Mode {
         THROUGH,
         ASIDE
     }
 
-    /** State of a listed server. */
+    /** State of a listed server; one that is draining finishes its requests and accepts no new ones. */
     enum State {
         RUNNING,
         DRAINING,
         GONE
     }
 
-    /** How a server list event relates to what is known. */
+    /** Kind of a {@link ServerList} event. */
     enum ListKind {
+        /** Only the servers that changed. */
         CHANGES,
+        /** The whole list. */
         WHOLE,
+        /** The whole list as last stored; it may be outdated. */
         LAST_KNOWN,
+        /** A list call or watch failed. */
         FAILED
     }
 
-    /** A class of requests. {@code aimPerWork} stretches the aim by a multiple of the request's own work. */
+    /**
+     * A class of requests.
+     *
+     * @param aimMicros time within which an answer has its full worth; 0 for the deadline
+     * @param aimPerWork multiple of the request's own work that is added to the aim
+     * @param deadlineMicros time after which the client gives up
+     * @param windowMicros time since the first attempt for which repeats are dropped
+     * @param worth worth of an answer within the aim
+     * @param lateWorth factor on the worth of an answer after the aim
+     * @param streamed whether answers are streamed, see {@link AnswerBegan}
+     */
     record RequestClass(
             String name,
             long aimMicros,
@@ -118,10 +158,10 @@
             double lateWorth,
             boolean streamed) {}
 
-    /** A tenant, with the requests a second over all balancers that are within its share. */
+    /** A tenant; its quota, in requests per second, counts over all balancers. */
     record Tenant(String name, double share, double quotaPerSecond) {}
 
-    /** What the site allows. A CPU figure of 0 means no such limit. */
+    /** Limits of the site, per balancer; a CPU limit of 0 stands for none, it is per second or per request. */
     record Limits(
             int maxAttempts,
             int maxOpen,
@@ -137,7 +177,17 @@
             double cpuMicrosPerSecond,
             double cpuMicrosPerRequest) {}
 
-    /** The figures of the four rules. */
+    /**
+     * Parameters of the site's rules on draining, discovery and cold servers.
+     *
+     * @param answerSlackMicros tolerance after a deadline for the final answer
+     * @param drainGraceMicros time for which new attempts at a draining server are tolerated
+     * @param askWithinMicros longest time without a confirmed server list
+     * @param coldCapacity fraction of its capacity that a server has at its start
+     * @param coldMicros time until it has its full capacity
+     * @param fallMultiple multiple of its current capacity at which a cold server fails
+     * @param fallMicros time over which that load is measured
+     */
     record RuleFigures(
             long answerSlackMicros,
             long drainGraceMicros,
@@ -147,7 +197,7 @@
             double fallMultiple,
             long fallMicros) {}
 
-    /** Points taken off the result for each unit of use. */
+    /** Points deducted from the score for each unit of use. */
     record Prices(
             double connection,
             double crossZone,
@@ -161,13 +211,22 @@
             double probe,
             double waste) {}
 
-    /** Weights of the parts of the result. */
+    /** Weights of the parts of the score. */
     record Goal(double whole, double worstWindow, double worstClass, double worstTenant) {}
 
-    /** The shared store behind the caches; {@code kind} is -1 where no listed server is the origin. */
+    /** The shared store behind the caches; {@code kind} indexes {@link Settings#kinds}, -1 if it isn't listed. */
     record Origin(Mode mode, int kind, double fallMultiple, long fallMicros) {}
 
-    /** What an instance is told at start; {@code seed} is its only source of randomness. */
+    /**
+     * Settings of an instance. Lists are copied.
+     *
+     * @param index number of this balancer, from 0
+     * @param seed the only source of randomness
+     * @param kinds kinds of listed servers, see {@link Server#kind}
+     * @param reportFields names of the values in load reports, in order
+     * @param overShareWorth factor on the worth of a tenant's requests above its quota
+     * @param tickMicros resolution of timers
+     */
     record Settings(
             int index,
             int balancers,
@@ -193,6 +252,7 @@
             boolean retriesMarked,
             long tickMicros) {
 
+        /** Copies the settings; throws an exception that names a missing one or one out of range. */
         public Settings {
             check(balancers >= 1, "balancers");
             check(index >= 0 && index < balancers, "index");
@@ -227,23 +287,28 @@
             return List.copyOf(list);
         }
 
-        private static void check(boolean right, String name) {
-            if (!right) {
+        private static void check(boolean valid, String name) {
+            if (!valid) {
                 throw new IllegalArgumentException("setting " + name + " is missing or out of range");
             }
         }
     }
 
-    /** A listed server. {@code startedMicros} is the clock time of its last start, 0 for long ago. */
+    /** A listed server; a {@code startedMicros} of 0 is unknown or long ago, and kind and zone may be null. */
     record Server(long id, double size, String kind, State state, String zone, long startedMicros, int cell) {}
 
-    /** Everything an instance can hear. */
+    /** An input of an instance. */
     sealed interface Event {}
 
-    /** The server list, whole or in part; {@code servers} is empty for {@link ListKind#FAILED}. */
+    /** The server list, whole or in part; without servers for {@link ListKind#FAILED}. */
     record ServerList(ListKind kind, long version, List<Server> servers) implements Event {}
 
-    /** A client's request; one final answer is owed from now on. {@code work} and {@code size} are 0 if not told. */
+    /**
+     * A client's request, which is owed one final answer. Work and size are estimates, 0 if unknown.
+     *
+     * @param key hash of its key; only if {@code hasKey}
+     * @param deadlineMicros time at which the client gives up
+     */
     record Request(
             String id,
             String requestClass,
@@ -257,10 +322,14 @@
             boolean write)
             implements Event {}
 
-    /** The answer of a streamed class has begun; from here the attempt belongs to the client. */
+    /** The answer of a streamed class has begun; it is passed to the client, and no other attempt may replace it. */
     record AnswerBegan(String request, long server, long latencyMicros, int attempt) implements Event {}
 
-    /** An attempt ended. {@code done}: the request is over. {@code note}: 1 hit, 2 miss, 3 miss being fetched. */
+    /**
+     * An attempt has ended; the first of a request has number 0. {@code done}: so has its request.
+     *
+     * @param note 1 for a hit, 2 for a miss, 3 for a miss that is being fetched, else 0
+     */
     record AttemptEnded(
             String request,
             int attempt,
@@ -272,53 +341,54 @@
             double[] report)
             implements Event {}
 
-    /** The client has left, or its answer is overdue; nothing is owed any more. */
+    /** The client has disconnected or its deadline is over; the request is owed no answer any more. */
     record RequestGone(String request) implements Event {}
 
-    /** A timer set by {@link SetTimer} fell due. */
+    /** A timer set by {@link SetTimer} has expired. */
     record TimerFired(long token) implements Event {}
 
     /** The result of a {@link Probe}. */
     record Probed(long server, Outcome outcome, long latencyMicros, double[] report) implements Event {}
 
-    /** A message of the balancer with number {@code from}. */
+    /** A message from the balancer with index {@code from}. */
     record PeerMessage(int from, byte[] content) implements Event {}
 
-    /** Everything an instance can order. */
+    /** An output of an instance. */
     sealed interface Action {}
 
-    /** Start the next attempt of a request; a time-out of 0 means the client's deadline. */
+    /** Starts the next attempt of a request; a timeout of 0 stands for the client's deadline. */
     record Send(String request, long server, long timeoutMicros) implements Action {}
 
-    /** Stop waiting for one attempt. */
+    /** Cancels one attempt. */
     record Cancel(String request, int attempt) implements Action {}
 
-    /** Final answer: refused, trying again is harmless. */
+    /** Final answer: the request is refused, and a retry is harmless; a delay of 0 advises none. */
     record Refuse(String request, long retryAfterMicros) implements Action {}
 
-    /** Final answer: failed, without a promise. */
+    /** Final answer: the request failed and may have been processed. */
     record Fail(String request) implements Action {}
 
-    /** Ask for a {@link TimerFired} after {@code delayMicros}. */
+    /** Requests a {@link TimerFired} after {@code delayMicros}. */
     record SetTimer(long token, long delayMicros) implements Action {}
 
-    /** Ask a server for its load report. */
+    /** Requests a load report from a server. */
     record Probe(long server) implements Action {}
 
-    /** Close idle connections to a server. */
+    /** Closes idle connections to a server. */
     record CloseIdle(long server) implements Action {}
 
-    /** Send at most 256 bytes to one peer, or to all with {@link #EVERYONE}. */
+    /** Sends a message of at most 256 bytes to one peer, or to all with {@link #EVERYONE}. */
     record TellPeer(int peer, byte[] content) implements Action {
+        /** Stands for all peers. */
         public static final int EVERYONE = -1;
     }
 
-    /** A line for the person on call. */
+    /** Writes a line to the operator's log. */
     record Log(String text) implements Action {}
 
-    /** Subscribe to changes of the server list, or end the subscription. */
+    /** Starts or ends a watch of the server list. */
     record WatchServers(boolean on) implements Action {}
 
-    /** Ask once for the whole server list. */
+    /** Requests the whole server list once. */
     record AskServers() implements Action {}
 }
