--- a/tier/src/main/java/baymoor/tier/place/Level.java
+++ b/tier/src/main/java/baymoor/tier/place/Level.java
@@ -11,14 +11,14 @@
     /** The whole tier; its children are regions. */
     TIER;
 
-    private static final Level[] ALL = values();
+    private static final Level[] LEVELS = values();
 
     /** The number of levels. */
-    public static final int COUNT = ALL.length;
+    public static final int COUNT = LEVELS.length;
 
     /** The level with this ordinal. */
     public static Level of(int ordinal) {
-        return ALL[ordinal];
+        return LEVELS[ordinal];
     }
 
     /** Whether no level is above this one. */
@@ -28,6 +28,6 @@
 
     /** The next level up. */
     public Level above() {
-        return ALL[ordinal() + 1];
+        return LEVELS[ordinal() + 1];
     }
 }
--- a/tier/src/main/java/baymoor/tier/place/Places.java
+++ b/tier/src/main/java/baymoor/tier/place/Places.java
@@ -24,65 +24,65 @@
 
     private final List<List<Group>> groups;
     private final int balancers;
-    private final int[][] groupOf;
-    private final int[][] childOf;
+    private final int[][] groupNumbers;
+    private final int[][] childIndexes;
 
     /**
      * Builds the tree. The arguments are checked by {@link PlacesReader}; here they are taken as consistent.
      *
      * @param sites all sites, with each balancer number from 0 in exactly one
-     * @param regionOfZone the region of each zone
+     * @param regionByZone the region of each zone
      */
-    public Places(List<Site> sites, Map<String, String> regionOfZone) {
-        Map<String, List<Integer>> sitesOfZone = new LinkedHashMap<>();
-        Map<String, List<Integer>> zonesOfRegion = new LinkedHashMap<>();
+    public Places(List<Site> sites, Map<String, String> regionByZone) {
+        Map<String, List<Integer>> sitesByZone = new LinkedHashMap<>();
+        Map<String, List<Integer>> zonesByRegion = new LinkedHashMap<>();
         List<Group> siteGroups = new ArrayList<>();
         for (Site site : sites) {
-            sitesOfZone.computeIfAbsent(site.zone(), z -> new ArrayList<>()).add(siteGroups.size());
-            List<Integer> ones = site.balancers().stream().map(b -> 1).toList();
-            siteGroups.add(new Group(Level.SITE, siteGroups.size(), site.name(), site.balancers(), ones));
+            sitesByZone.computeIfAbsent(site.zone(), z -> new ArrayList<>()).add(siteGroups.size());
+            List<Integer> sizes = site.balancers().stream().map(b -> 1).toList();
+            siteGroups.add(new Group(Level.SITE, siteGroups.size(), site.name(), site.balancers(), sizes));
         }
-        List<Group> zoneGroups = gather(Level.ZONE, sitesOfZone, siteGroups);
+        List<Group> zoneGroups = createGroups(Level.ZONE, sitesByZone, siteGroups);
         for (Group zone : zoneGroups) {
-            zonesOfRegion
-                    .computeIfAbsent(regionOfZone.get(zone.name()), r -> new ArrayList<>())
+            zonesByRegion
+                    .computeIfAbsent(regionByZone.get(zone.name()), r -> new ArrayList<>())
                     .add(zone.number());
         }
-        List<Group> regionGroups = gather(Level.REGION, zonesOfRegion, zoneGroups);
-        List<Integer> regions = regionGroups.stream().map(Group::number).toList();
-        List<Group> tier = gather(Level.TIER, Map.of("tier", regions), regionGroups);
-        groups = List.of(siteGroups, zoneGroups, regionGroups, tier);
-        balancers = tier.get(0).members();
-        groupOf = new int[Level.COUNT][balancers];
-        childOf = new int[Level.COUNT][balancers];
-        locate();
+        List<Group> regionGroups = createGroups(Level.REGION, zonesByRegion, zoneGroups);
+        List<Integer> regionNumbers = regionGroups.stream().map(Group::number).toList();
+        List<Group> tierGroups = createGroups(Level.TIER, Map.of("tier", regionNumbers), regionGroups);
+        groups = List.of(siteGroups, zoneGroups, regionGroups, tierGroups);
+        balancers = tierGroups.get(0).members();
+        groupNumbers = new int[Level.COUNT][balancers];
+        childIndexes = new int[Level.COUNT][balancers];
+        indexBalancers();
     }
 
-    private static List<Group> gather(Level level, Map<String, List<Integer>> children, List<Group> below) {
-        List<Group> gathered = new ArrayList<>();
+    private static List<Group> createGroups(Level level, Map<String, List<Integer>> children, List<Group> childGroups) {
+        List<Group> levelGroups = new ArrayList<>();
         children.forEach((name, numbers) -> {
             List<Integer> sizes =
-                    numbers.stream().map(n -> below.get(n).members()).toList();
-            gathered.add(new Group(level, gathered.size(), name, numbers, sizes));
+                    numbers.stream().map(n -> childGroups.get(n).members()).toList();
+            levelGroups.add(new Group(level, levelGroups.size(), name, numbers, sizes));
         });
-        return List.copyOf(gathered);
+        return List.copyOf(levelGroups);
     }
 
-    private void locate() {
+    private void indexBalancers() {
         for (Group site : groups.get(Level.SITE.ordinal())) {
             for (int child = 0; child < site.children().size(); child++) {
                 int balancer = site.children().get(child);
-                groupOf[0][balancer] = site.number();
-                childOf[0][balancer] = child;
+                groupNumbers[0][balancer] = site.number();
+                childIndexes[0][balancer] = child;
             }
         }
         for (int level = 1; level < Level.COUNT; level++) {
             for (Group group : groups.get(level)) {
                 for (int balancer = 0; balancer < balancers; balancer++) {
-                    int child = group.children().indexOf(groupOf[level - 1][balancer]);
+                    int child = group.children().indexOf(groupNumbers[level - 1][balancer]);
                     if (child >= 0) {
-                        groupOf[level][balancer] = group.number();
-                        childOf[level][balancer] = child;
+                        groupNumbers[level][balancer] = group.number();
+                        childIndexes[level][balancer] = child;
                     }
                 }
             }
@@ -101,12 +101,12 @@
 
     /** The group of a level that a balancer stands in. */
     public Group group(Level level, int balancer) {
-        return groups.get(level.ordinal()).get(groupOf[level.ordinal()][balancer]);
+        return groups.get(level.ordinal()).get(groupNumbers[level.ordinal()][balancer]);
     }
 
     /** The index of the child of that group below which the balancer stands. */
     public int child(Level level, int balancer) {
-        return childOf[level.ordinal()][balancer];
+        return childIndexes[level.ordinal()][balancer];
     }
 
     /** The balancers below a child of a group, in the order of the file. */
@@ -114,12 +114,12 @@
         if (group.level() == Level.SITE) {
             return List.of(group.children().get(child));
         }
-        Group below =
+        Group childGroup =
                 groups.get(group.level().ordinal() - 1).get(group.children().get(child));
-        List<Integer> all = new ArrayList<>();
-        for (int c = 0; c < below.children().size(); c++) {
-            all.addAll(balancersBelow(below, c));
+        List<Integer> balancersBelow = new ArrayList<>();
+        for (int grandchild = 0; grandchild < childGroup.children().size(); grandchild++) {
+            balancersBelow.addAll(balancersBelow(childGroup, grandchild));
         }
-        return all;
+        return balancersBelow;
     }
 }
--- a/tier/src/main/java/baymoor/tier/place/PlacesException.java
+++ b/tier/src/main/java/baymoor/tier/place/PlacesException.java
@@ -5,7 +5,7 @@
 
     private static final long serialVersionUID = 1L;
 
-    PlacesException(String file, int line, String field, String what) {
-        super(file + ":" + line + ": " + field + " " + what);
+    PlacesException(String file, int line, String field, String problem) {
+        super(file + ":" + line + ": " + field + " " + problem);
     }
 }
--- a/tier/src/test/java/baymoor/tier/place/PlacesReaderTest.java
+++ b/tier/src/test/java/baymoor/tier/place/PlacesReaderTest.java
@@ -11,7 +11,7 @@
 
 public class PlacesReaderTest {
 
-    private static final String GOOD = """
+    private static final String VALID = """
             balancers = 5 # all of them
             largest_group = 4
             [[zone]]
@@ -34,21 +34,21 @@
             time = "38ms"
             """;
 
-    private static String mistake(String text) {
+    private static String readError(String text) {
         String message = assertThrows(PlacesException.class, () -> PlacesReader.read("places.toml", text))
                 .getMessage();
         assertTrue(message, message.indexOf('\n') < 0);
         return message;
     }
 
-    private static String with(String before, String after) {
-        assertTrue(before, GOOD.contains(before));
-        return GOOD.replace(before, after);
+    private static String validWith(String target, String replacement) {
+        assertTrue(target, VALID.contains(target));
+        return VALID.replace(target, replacement);
     }
 
     @Test
-    public void aGoodFileIsATree() throws Exception {
-        PlacesReader.Result read = PlacesReader.read("places.toml", GOOD);
+    public void readsValidFileIntoTree() throws Exception {
+        PlacesReader.Result read = PlacesReader.read("places.toml", VALID);
         Places places = read.places();
         assertEquals(5, places.balancers());
         assertEquals("a1", places.group(Level.SITE, 4).name());
@@ -61,51 +61,56 @@
     }
 
     @Test
-    public void everyMistakeIsOneLineWithFileLineAndField() {
+    public void reportsEachErrorOnOneLineWithFileLineAndField() {
         String[][] cases = {
             {
-                with("[[delay]]", "[[site]]\nname = \"a1\"\nzone = \"zb\"\nbalancers = \"2\"\n[[delay]]"),
+                validWith("[[delay]]", "[[site]]\nname = \"a1\"\nzone = \"zb\"\nbalancers = \"2\"\n[[delay]]"),
                 "places.toml:18: name = \"a1\" stands in two zones, za and zb"
             },
-            {with("zone = \"zb\"", "zone = \"zc\""), "places.toml:15: zone = \"zc\" is no [[zone]] of this file"},
-            {with("0-1, 4", "0-1"), "places.toml:1: balancers is 5, but number 4 is in no site"},
-            {with("2-3", "1-3"), "places.toml:16: balancers names number 1 twice, also in site a1"},
-            {with("0-1, 4", "0,1,0,4"), "places.toml:12: balancers names number 0 twice, also in site a1"},
-            {with("= 4\n", "= 2\n"), "places.toml:12: balancers gives site a1 3 members, over 2"},
-            {with("balancers = 5", "balancers = 0"), "places.toml:1: balancers is 0, not from 1 to 10000"},
-            {with("\"2-3\"", "\"\""), "places.toml:16: balancers is not a text in quotes"},
-            {with("\"38ms\"", "38"), "places.toml:20: time = 38 has no unit; write \"38ms\", \"38us\" or \"1s\""},
-            {with("\"38ms\"", "\"38\""), "places.toml:20: time = 38 has no unit; write \"38ms\", \"38us\" or \"1s\""},
-            {with("balancers = 5 #", "#"), "places.toml:1: balancers is missing: the number of all balancers"},
-            {with("2-3", "3-2"), "places.toml:16: balancers goes down from 3 to 2"},
-            {with("2-3", "2-9"), "places.toml:16: balancers names number 9; the last one is 4"},
-            {with("2-3", "two"), "places.toml:16: balancers = \"two\" is no list like \"0-12, 14\""},
-            {with("name = \"zb\"", "name = \"za\""), "places.toml:7: name = \"za\" is a zone that there is already"},
-            {with("region = \"south\"\n", ""), "places.toml:6: region is missing in [[zone]]"},
+            {validWith("zone = \"zb\"", "zone = \"zc\""), "places.toml:15: zone = \"zc\" is no [[zone]] of this file"},
+            {validWith("0-1, 4", "0-1"), "places.toml:1: balancers is 5, but number 4 is in no site"},
+            {validWith("2-3", "1-3"), "places.toml:16: balancers names number 1 twice, also in site a1"},
+            {validWith("0-1, 4", "0,1,0,4"), "places.toml:12: balancers names number 0 twice, also in site a1"},
+            {validWith("= 4\n", "= 2\n"), "places.toml:12: balancers gives site a1 3 members, over 2"},
+            {validWith("balancers = 5", "balancers = 0"), "places.toml:1: balancers is 0, not from 1 to 10000"},
+            {validWith("\"2-3\"", "\"\""), "places.toml:16: balancers is not a text in quotes"},
+            {validWith("\"38ms\"", "38"), "places.toml:20: time = 38 has no unit; write \"38ms\", \"38us\" or \"1s\""},
             {
-                with("[[delay]]", "[[delays]]"),
+                validWith("\"38ms\"", "\"38\""),
+                "places.toml:20: time = 38 has no unit; write \"38ms\", \"38us\" or \"1s\""
+            },
+            {validWith("balancers = 5 #", "#"), "places.toml:1: balancers is missing: the number of all balancers"},
+            {validWith("2-3", "3-2"), "places.toml:16: balancers goes down from 3 to 2"},
+            {validWith("2-3", "2-9"), "places.toml:16: balancers names number 9; the last one is 4"},
+            {validWith("2-3", "two"), "places.toml:16: balancers = \"two\" is no list like \"0-12, 14\""},
+            {validWith("name = \"zb\"", "name = \"za\""), "places.toml:7: name = \"za\" is a zone that there is already"
+            },
+            {validWith("region = \"south\"\n", ""), "places.toml:6: region is missing in [[zone]]"},
+            {
+                validWith("[[delay]]", "[[delays]]"),
                 "places.toml:17: delays is no table; there are [[zone]], [[site]] and [[delay]]"
             },
-            {with("to = \"south\"", "to = \"west\""), "places.toml:19: to = \"west\" is no region of this file"},
-            {with("zone = \"zb\"", "area = \"zb\""), "places.toml:15: area is not a field here"},
-            {with("zone = \"zb\"", "zone = \"zb\"\nzone = \"za\""), "places.toml:16: zone stands here twice"},
+            {validWith("to = \"south\"", "to = \"west\""), "places.toml:19: to = \"west\" is no region of this file"},
+            {validWith("zone = \"zb\"", "area = \"zb\""), "places.toml:15: area is not a field here"},
+            {validWith("zone = \"zb\"", "zone = \"zb\"\nzone = \"za\""), "places.toml:16: zone stands here twice"},
             {
-                with("zone = \"zb\"", "zone: zb"),
+                validWith("zone = \"zb\"", "zone: zb"),
                 "places.toml:15: line is neither [[table]] nor field = \"text\" or a whole number"
             },
             {
-                with("[[site]]\nname = \"a1\"", "[[zone]]\nname=\"zz\"\nregion=\"north\"\n[[site]]\nname = \"a1\""),
+                validWith(
+                        "[[site]]\nname = \"a1\"", "[[zone]]\nname=\"zz\"\nregion=\"north\"\n[[site]]\nname = \"a1\""),
                 "places.toml:10: name = \"zz\" is a zone without a site"
             },
         };
-        for (String[] one : cases) {
-            assertEquals(one[1], mistake(one[0]));
+        for (String[] testCase : cases) {
+            assertEquals(testCase[1], readError(testCase[0]));
         }
-        assertEquals("places.toml:1: site is missing: there is no [[site]]", mistake("balancers = 1"));
+        assertEquals("places.toml:1: site is missing: there is no [[site]]", readError("balancers = 1"));
     }
 
     @Test
-    public void theExampleThatIsDeployedIsGood() throws Exception {
+    public void readsDeployedExample() throws Exception {
         String text = Files.readString(Path.of("deploy/places.toml"));
         assertTrue(PlacesReader.read("deploy/places.toml", text).places().balancers() > 0);
     }
