--- a/tier/src/main/java/baymoor/tier/message/CompactCount.java
+++ b/tier/src/main/java/baymoor/tier/message/CompactCount.java
@@ -8,11 +8,11 @@
     SHORT(10);
 
     private final int mantissaBits;
-    private final int most;
+    private final int maxCode;
 
     CompactCount(int mantissaBits) {
         this.mantissaBits = mantissaBits;
-        most = mantissaBits == 4 ? 0xff : 0xffff;
+        maxCode = mantissaBits == 4 ? 0xff : 0xffff;
     }
 
     /** The code of a count; one that is too large becomes the largest there is, a negative one 0. */
@@ -20,7 +20,7 @@
         long value = Math.max(0, count);
         int exponent = Math.max(0, Long.SIZE - Long.numberOfLeadingZeros(value) - mantissaBits - 1);
         long code = ((long) exponent << mantissaBits) + (value >> exponent);
-        return (int) Math.min(most, code);
+        return (int) Math.min(maxCode, code);
     }
 
     /** The count of a code. */
--- a/tier/src/main/java/baymoor/tier/message/GroupMessage.java
+++ b/tier/src/main/java/baymoor/tier/message/GroupMessage.java
@@ -38,14 +38,14 @@
         Digest digest) {
 
     /** The same without the commitment of the epoch before. */
-    GroupMessage withoutRepetition() {
+    GroupMessage withoutPreviousCommitment() {
         return new GroupMessage(
                 level, group, child, speaker, hops, epoch, term, claims, vote, commitment, null, totals, loads, digest);
     }
 
     /** The same without any loads. */
     GroupMessage withoutLoads() {
-        Digest bare = digest == null ? null : digest.withoutLoads();
+        Digest digestWithoutLoads = digest == null ? null : digest.withoutLoads();
         return new GroupMessage(
                 level,
                 group,
@@ -60,6 +60,6 @@
                 previous,
                 totals,
                 LoadReport.NONE,
-                bare);
+                digestWithoutLoads);
     }
 }
--- a/tier/src/main/java/baymoor/tier/message/LoadReport.java
+++ b/tier/src/main/java/baymoor/tier/message/LoadReport.java
@@ -17,13 +17,13 @@
     public static final LoadReport NONE = new LoadReport(0, 0, new byte[0], new int[0], new byte[0]);
 
     /** Bytes of a report without entries. */
-    static final int FIXED_BYTES = 6;
+    static final int HEADER_BYTES = 6;
     /** Bytes of an entry that stands apart. */
-    static final int TAGGED_BYTES = 3;
+    static final int TAGGED_ENTRY_BYTES = 3;
 
     /** The number of bytes that it takes. */
-    public int bytes() {
-        return FIXED_BYTES + run.length + TAGGED_BYTES * tags.length;
+    public int encodedBytes() {
+        return HEADER_BYTES + run.length + TAGGED_ENTRY_BYTES * tags.length;
     }
 
     @Override
--- a/tier/src/main/java/baymoor/tier/message/MessageCodec.java
+++ b/tier/src/main/java/baymoor/tier/message/MessageCodec.java
@@ -14,23 +14,23 @@
     /** The first byte of a group message; the version before has 1 ({@link PreviousVersion}). */
     public static final byte VERSION = 2;
     /** The longest datagram. */
-    public static final int LONGEST = 256;
+    public static final int MAX_DATAGRAM_BYTES = 256;
     /** The most passes from a balancer to a newer speaker. */
     public static final int MOST_HOPS = 3;
 
-    private static final int FLAGS_AT = 1;
+    private static final int FLAGS_OFFSET = 1;
     private static final int HOPS_SHIFT = 6;
-    private static final int CLAIMS = 4;
-    private static final int COMMITTED = 8;
-    private static final int REPEATED = 16;
-    private static final int DIGEST = 32;
-    private static final double MOST_FIGURE = 1e9;
-    private static final int PART_SCALE = 0x7fffffff;
+    private static final int CLAIMS_LEASE_FLAG = 4;
+    private static final int COMMITMENT_FLAG = 8;
+    private static final int PREVIOUS_COMMITMENT_FLAG = 16;
+    private static final int DIGEST_FLAG = 32;
+    private static final double QUANTITY_LIMIT = 1e9;
+    private static final int SHARE_SCALE = 0x7fffffff;
 
     private MessageCodec() {}
 
-    static boolean possible(double figure) {
-        return figure >= 0 && figure < MOST_FIGURE;
+    static boolean isValidQuantity(double quantity) {
+        return quantity >= 0 && quantity < QUANTITY_LIMIT;
     }
 
     /** Whether a datagram says that it is a group message. */
@@ -40,50 +40,50 @@
 
     /** The datagram of a message. */
     public static byte[] encode(GroupMessage message) {
-        byte[] datagram = bytes(message);
-        if (datagram.length > LONGEST) {
+        byte[] datagram = serialize(message);
+        if (datagram.length > MAX_DATAGRAM_BYTES) {
             throw new IllegalArgumentException("a message of " + datagram.length + " bytes");
         }
         return datagram;
     }
 
-    private static byte[] bytes(GroupMessage message) {
-        ByteBuffer out = ByteBuffer.allocate(4 * LONGEST);
+    private static byte[] serialize(GroupMessage message) {
+        ByteBuffer out = ByteBuffer.allocate(4 * MAX_DATAGRAM_BYTES);
         int flags = message.level().ordinal() | message.hops() << HOPS_SHIFT;
-        flags |= message.claims() ? CLAIMS : 0;
-        flags |= message.commitment() != null ? COMMITTED : 0;
-        flags |= message.previous() != null ? REPEATED : 0;
-        flags |= message.digest() != null ? DIGEST : 0;
+        flags |= message.claims() ? CLAIMS_LEASE_FLAG : 0;
+        flags |= message.commitment() != null ? COMMITMENT_FLAG : 0;
+        flags |= message.previous() != null ? PREVIOUS_COMMITMENT_FLAG : 0;
+        flags |= message.digest() != null ? DIGEST_FLAG : 0;
         out.put(VERSION).put((byte) flags).putShort((short) message.group());
         out.put((byte) (message.child() | message.vote() << 4)).putShort((short) message.speaker());
         out.putInt(message.epoch()).putInt(message.term());
-        put(out, message.commitment());
-        put(out, message.previous());
-        put(out, message.totals());
-        put(out, message.loads());
-        put(out, message.digest());
+        write(out, message.commitment());
+        write(out, message.previous());
+        write(out, message.totals());
+        write(out, message.loads());
+        write(out, message.digest());
         return Arrays.copyOf(out.array(), out.position());
     }
 
     /** The datagram of a message, without what can be missed in it where it would be too long. */
     public static byte[] encodeFitting(GroupMessage message) {
-        byte[] whole = bytes(message);
-        if (whole.length <= LONGEST) {
-            return whole;
+        byte[] full = serialize(message);
+        if (full.length <= MAX_DATAGRAM_BYTES) {
+            return full;
         }
-        GroupMessage shorter = message.withoutRepetition();
-        byte[] once = bytes(shorter);
-        return once.length <= LONGEST ? once : encode(shorter.withoutLoads());
+        GroupMessage withoutPrevious = message.withoutPreviousCommitment();
+        byte[] shortened = serialize(withoutPrevious);
+        return shortened.length <= MAX_DATAGRAM_BYTES ? shortened : encode(withoutPrevious.withoutLoads());
     }
 
     /** The same datagram, passed on once more. */
     public static byte[] passedOn(byte[] datagram) {
         byte[] copy = datagram.clone();
-        copy[FLAGS_AT] += (byte) (1 << HOPS_SHIFT);
+        copy[FLAGS_OFFSET] += (byte) (1 << HOPS_SHIFT);
         return copy;
     }
 
-    private static void put(ByteBuffer out, Commitment commitment) {
+    private static void write(ByteBuffer out, Commitment commitment) {
         if (commitment == null) {
             return;
         }
@@ -96,7 +96,7 @@
         }
     }
 
-    private static void put(ByteBuffer out, Totals totals) {
+    private static void write(ByteBuffer out, Totals totals) {
         out.putShort((short) totals.members()).putShort((short) totals.draw());
         out.putFloat((float) totals.weight()).putFloat((float) totals.rate());
         long[] counts = {
@@ -112,7 +112,7 @@
         }
     }
 
-    private static void put(ByteBuffer out, LoadReport loads) {
+    private static void write(ByteBuffer out, LoadReport loads) {
         out.putShort((short) loads.fingerprint()).putShort((short) loads.start());
         out.put((byte) loads.run().length).put((byte) loads.tags().length);
         out.put(loads.run());
@@ -121,16 +121,16 @@
         }
     }
 
-    private static void put(ByteBuffer out, Digest digest) {
+    private static void write(ByteBuffer out, Digest digest) {
         if (digest == null) {
             return;
         }
-        out.putInt((int) (digest.nextPart() * PART_SCALE)).putInt((int) (digest.laterPart() * PART_SCALE));
+        out.putInt((int) (digest.nextPart() * SHARE_SCALE)).putInt((int) (digest.laterPart() * SHARE_SCALE));
         out.putFloat((float) digest.rate());
-        put(out, digest.outside());
+        write(out, digest.outside());
         out.put((byte) digest.speakers().size());
         digest.speakers().forEach(speaker -> out.putShort(speaker.shortValue()));
-        put(out, digest.loads());
+        write(out, digest.loads());
     }
 
     /**
@@ -139,12 +139,12 @@
      * @throws MalformedMessageException where it is of another version, cut off, too long, or holds impossible figures
      */
     public static GroupMessage decode(byte[] datagram) throws MalformedMessageException {
-        if (datagram.length > LONGEST || !matches(datagram)) {
+        if (datagram.length > MAX_DATAGRAM_BYTES || !matches(datagram)) {
             throw new MalformedMessageException("version or length");
         }
         try {
             ByteBuffer in = ByteBuffer.wrap(datagram, 1, datagram.length - 1);
-            GroupMessage message = message(in);
+            GroupMessage message = readMessage(in);
             require(!in.hasRemaining(), "bytes after the end");
             return message;
         } catch (BufferUnderflowException e) {
@@ -152,9 +152,9 @@
         }
     }
 
-    private static void require(boolean condition, String what) throws MalformedMessageException {
+    private static void require(boolean condition, String problem) throws MalformedMessageException {
         if (!condition) {
-            throw new MalformedMessageException(what);
+            throw new MalformedMessageException(problem);
         }
     }
 
@@ -166,29 +166,29 @@
         return in.get() & 0xff;
     }
 
-    private static GroupMessage message(ByteBuffer in) throws MalformedMessageException {
+    private static GroupMessage readMessage(ByteBuffer in) throws MalformedMessageException {
         int flags = unsignedByte(in);
         int group = unsignedShort(in);
-        int children = unsignedByte(in);
+        int childAndVote = unsignedByte(in);
         int speaker = unsignedShort(in);
         int epoch = in.getInt();
         int term = in.getInt();
         require(epoch >= 0 && term >= 0, "epoch or term");
-        Commitment commitment = (flags & COMMITTED) != 0 ? commitment(in) : null;
-        Commitment previous = (flags & REPEATED) != 0 ? commitment(in) : null;
-        Totals totals = totals(in);
-        LoadReport loads = loads(in);
-        Digest digest = (flags & DIGEST) != 0 ? digest(in) : null;
+        Commitment commitment = (flags & COMMITMENT_FLAG) != 0 ? readCommitment(in) : null;
+        Commitment previous = (flags & PREVIOUS_COMMITMENT_FLAG) != 0 ? readCommitment(in) : null;
+        Totals totals = readTotals(in);
+        LoadReport loads = readLoads(in);
+        Digest digest = (flags & DIGEST_FLAG) != 0 ? readDigest(in) : null;
         return new GroupMessage(
                 Level.of(flags & Level.COUNT - 1),
                 group,
-                children & 0xf,
+                childAndVote & 0xf,
                 speaker,
                 flags >> HOPS_SHIFT,
                 epoch,
                 term,
-                (flags & CLAIMS) != 0,
-                children >> 4,
+                (flags & CLAIMS_LEASE_FLAG) != 0,
+                childAndVote >> 4,
                 commitment,
                 previous,
                 totals,
@@ -196,25 +196,25 @@
                 digest);
     }
 
-    private static Commitment commitment(ByteBuffer in) throws MalformedMessageException {
+    private static Commitment readCommitment(ByteBuffer in) throws MalformedMessageException {
         int acknowledged = unsignedShort(in);
         int[] gives = new int[Places.LARGEST_GROUP];
-        int last = -1;
+        int previousChild = -1;
         for (int count = unsignedByte(in); count > 0; count--) {
             int child = unsignedByte(in);
-            require(child > last && child < gives.length, "order of what is given");
+            require(child > previousChild && child < gives.length, "order of what is given");
             gives[child] = unsignedShort(in);
-            last = child;
+            previousChild = child;
         }
         return new Commitment(acknowledged, gives);
     }
 
-    private static Totals totals(ByteBuffer in) throws MalformedMessageException {
+    private static Totals readTotals(ByteBuffer in) throws MalformedMessageException {
         int members = unsignedShort(in);
         int draw = unsignedShort(in);
         float weight = in.getFloat();
         float rate = in.getFloat();
-        require(possible(weight) && possible(rate), "weight or rate");
+        require(isValidQuantity(weight) && isValidQuantity(rate), "weight or rate");
         long[] counts = new long[6];
         for (int i = 0; i < counts.length; i++) {
             counts[i] = CompactCount.SHORT.decode(unsignedShort(in));
@@ -223,7 +223,7 @@
                 members, counts[0], counts[1], weight, counts[2], draw, rate, counts[3], counts[4], counts[5]);
     }
 
-    private static LoadReport loads(ByteBuffer in) {
+    private static LoadReport readLoads(ByteBuffer in) {
         int fingerprint = unsignedShort(in);
         int start = unsignedShort(in);
         byte[] run = new byte[unsignedByte(in)];
@@ -237,24 +237,24 @@
         return new LoadReport(fingerprint, start, run, tags, codes);
     }
 
-    private static double part(ByteBuffer in) throws MalformedMessageException {
+    private static double readShare(ByteBuffer in) throws MalformedMessageException {
         int scaled = in.getInt();
         require(scaled >= 0, "part");
-        return (double) scaled / PART_SCALE;
+        return (double) scaled / SHARE_SCALE;
     }
 
-    private static Digest digest(ByteBuffer in) throws MalformedMessageException {
-        double next = part(in);
-        double later = part(in);
+    private static Digest readDigest(ByteBuffer in) throws MalformedMessageException {
+        double nextShare = readShare(in);
+        double laterShare = readShare(in);
         float rate = in.getFloat();
-        require(possible(rate), "rate");
-        Totals outside = totals(in);
+        require(isValidQuantity(rate), "rate");
+        Totals outside = readTotals(in);
         int count = unsignedByte(in);
         require(count <= Places.LARGEST_GROUP, "speakers");
         List<Integer> speakers = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             speakers.add(unsignedShort(in));
         }
-        return new Digest(next, later, rate, outside, speakers, loads(in));
+        return new Digest(nextShare, laterShare, rate, outside, speakers, readLoads(in));
     }
 }
--- a/tier/src/main/java/baymoor/tier/message/PreviousVersion.java
+++ b/tier/src/main/java/baymoor/tier/message/PreviousVersion.java
@@ -8,7 +8,7 @@
     /** The first byte of such a message. */
     public static final byte VERSION = 1;
     /** Bytes of the figures, with incarnation and sequence number before them; loads may follow. */
-    static final int BYTES = 45;
+    static final int MIN_BYTES = 45;
 
     /** One figure of a balancer without a message for an epoch. */
     public record Figures(int incarnation, int sequence, Totals totals) {}
@@ -26,7 +26,7 @@
      * @throws MalformedMessageException where it is too short or holds impossible figures
      */
     public static Figures decode(byte[] datagram) throws MalformedMessageException {
-        if (datagram.length < BYTES || datagram.length > MessageCodec.LONGEST) {
+        if (datagram.length < MIN_BYTES || datagram.length > MessageCodec.MAX_DATAGRAM_BYTES) {
             throw new MalformedMessageException("length");
         }
         ByteBuffer in = ByteBuffer.wrap(datagram, 1, datagram.length - 1);
@@ -41,7 +41,7 @@
         in.getShort(); // fetches that are out
         float weight = in.getFloat();
         float rate = in.getFloat();
-        if (!MessageCodec.possible(weight) || !MessageCodec.possible(rate)) {
+        if (!MessageCodec.isValidQuantity(weight) || !MessageCodec.isValidQuantity(rate)) {
             throw new MalformedMessageException("figures");
         }
         return new Figures(incarnation, sequence, new Totals(1, fetched, queued, weight, credits, draw, rate, 0, 0, 0));
--- a/tier/src/main/java/baymoor/tier/message/Totals.java
+++ b/tier/src/main/java/baymoor/tier/message/Totals.java
@@ -36,8 +36,8 @@
     public static final Totals NONE = new Totals(0, 0, 0, 0, 0, 0, 0, 0, 0, 0);
 
     /** The same with another draw. */
-    public Totals withDraw(int other) {
-        return new Totals(members, fetched, queued, weight, credits, other, rate, answers, latencyMillis, failures);
+    public Totals withDraw(int newDraw) {
+        return new Totals(members, fetched, queued, weight, credits, newDraw, rate, answers, latencyMillis, failures);
     }
 
     /** All together, with the median of their estimates. */
--- a/tier/src/test/java/baymoor/tier/message/MessageCodecTest.java
+++ b/tier/src/test/java/baymoor/tier/message/MessageCodecTest.java
@@ -19,15 +19,15 @@
 
     private static final String SEED = "4714";
 
-    private static Commitment commitment(Random random, int gifts) {
+    private static Commitment randomCommitment(Random random, int transfers) {
         int[] gives = new int[Places.LARGEST_GROUP];
-        for (int i = 0; i < gifts; i++) {
+        for (int i = 0; i < transfers; i++) {
             gives[random.nextInt(gives.length)] = 1 + random.nextInt(0xffff);
         }
         return new Commitment(random.nextInt(1 << 16), gives);
     }
 
-    private static Totals totals(Random random) {
+    private static Totals randomTotals(Random random) {
         return new Totals(
                 random.nextInt(700),
                 random.nextInt(2_000),
@@ -41,21 +41,21 @@
                 random.nextInt(2_000));
     }
 
-    private static LoadReport loads(Random random, int run, int apart) {
-        byte[] codes = new byte[run];
+    private static LoadReport randomLoads(Random random, int runLength, int tagCount) {
+        byte[] run = new byte[runLength];
+        random.nextBytes(run);
+        byte[] codes = new byte[tagCount];
         random.nextBytes(codes);
-        byte[] tagged = new byte[apart];
-        random.nextBytes(tagged);
-        int[] tags = random.ints(apart, 0, 1 << 16).toArray();
-        return new LoadReport(random.nextInt(1 << 16), random.nextInt(400), codes, tags, tagged);
+        int[] tags = random.ints(tagCount, 0, 1 << 16).toArray();
+        return new LoadReport(random.nextInt(1 << 16), random.nextInt(400), run, tags, codes);
     }
 
-    static GroupMessage message(Random random) {
+    static GroupMessage randomMessage(Random random) {
         List<Integer> speakers = new ArrayList<>();
         for (int i = random.nextInt(6); i > 0; i--) {
             speakers.add(random.nextInt(640));
         }
-        Digest digest = new Digest(0.25, 0.5, 1.5, totals(random), speakers, loads(random, 10, 2));
+        Digest digest = new Digest(0.25, 0.5, 1.5, randomTotals(random), speakers, randomLoads(random, 10, 2));
         return new GroupMessage(
                 Level.of(random.nextInt(Level.COUNT)),
                 random.nextInt(50),
@@ -66,47 +66,47 @@
                 random.nextInt(Integer.MAX_VALUE),
                 random.nextBoolean(),
                 random.nextInt(16),
-                random.nextBoolean() ? commitment(random, 3) : null,
-                random.nextBoolean() ? commitment(random, 2) : null,
-                totals(random),
-                loads(random, 20, 4),
+                random.nextBoolean() ? randomCommitment(random, 3) : null,
+                random.nextBoolean() ? randomCommitment(random, 2) : null,
+                randomTotals(random),
+                randomLoads(random, 20, 4),
                 random.nextBoolean() ? digest : null);
     }
 
     @Property(seed = SEED, tries = 500)
-    void whatIsWrittenIsRead(@ForAll long seed) throws Exception {
-        GroupMessage message = message(new Random(seed));
+    void decodingRestoresEncodedMessage(@ForAll long seed) throws Exception {
+        GroupMessage message = randomMessage(new Random(seed));
         byte[] datagram = MessageCodec.encode(message);
-        assertTrue(datagram.length <= MessageCodec.LONGEST);
-        GroupMessage read = MessageCodec.decode(datagram);
+        assertTrue(datagram.length <= MessageCodec.MAX_DATAGRAM_BYTES);
+        GroupMessage decoded = MessageCodec.decode(datagram);
         if (message.digest() == null) {
-            assertEquals(message, read);
+            assertEquals(message, decoded);
         } else {
-            assertEquals(0.25, read.digest().nextPart(), 1e-9);
-            assertTrue(read.digest().nextPart() <= 0.25);
-            assertEquals(message.digest().outside(), read.digest().outside());
-            assertEquals(message.digest().speakers(), read.digest().speakers());
-            assertEquals(message.digest().loads(), read.digest().loads());
-            assertEquals(message.totals(), read.totals());
-            assertEquals(message.commitment(), read.commitment());
+            assertEquals(0.25, decoded.digest().nextPart(), 1e-9);
+            assertTrue(decoded.digest().nextPart() <= 0.25);
+            assertEquals(message.digest().outside(), decoded.digest().outside());
+            assertEquals(message.digest().speakers(), decoded.digest().speakers());
+            assertEquals(message.digest().loads(), decoded.digest().loads());
+            assertEquals(message.totals(), decoded.totals());
+            assertEquals(message.commitment(), decoded.commitment());
         }
     }
 
     @Property(seed = SEED, tries = 300)
-    void aMessageThatIsCutOffOrTooLongIsRefused(@ForAll long seed) {
+    void rejectsTruncatedAndOversizedDatagrams(@ForAll long seed) {
         Random random = new Random(seed);
-        byte[] datagram = MessageCodec.encode(message(random));
-        byte[] cut = Arrays.copyOf(datagram, random.nextInt(datagram.length));
-        Assert.assertThrows(MalformedMessageException.class, () -> MessageCodec.decode(cut));
-        byte[] longer = Arrays.copyOf(datagram, datagram.length + 1 + random.nextInt(300));
-        Assert.assertThrows(MalformedMessageException.class, () -> MessageCodec.decode(longer));
+        byte[] datagram = MessageCodec.encode(randomMessage(random));
+        byte[] truncated = Arrays.copyOf(datagram, random.nextInt(datagram.length));
+        Assert.assertThrows(MalformedMessageException.class, () -> MessageCodec.decode(truncated));
+        byte[] oversized = Arrays.copyOf(datagram, datagram.length + 1 + random.nextInt(300));
+        Assert.assertThrows(MalformedMessageException.class, () -> MessageCodec.decode(oversized));
     }
 
     /** Nothing but the codec's own exception may come of any bytes, and what is read may be written again. */
     @Property(seed = SEED, tries = 3000)
-    void anyBytesAreReadOrRefused(@ForAll long seed) {
+    void corruptDatagramsDecodeOrThrowMalformedMessage(@ForAll long seed) {
         Random random = new Random(seed);
-        byte[] datagram = MessageCodec.encode(message(random));
+        byte[] datagram = MessageCodec.encode(randomMessage(random));
         if (random.nextInt(4) == 0) {
             random.nextBytes(datagram);
             datagram[0] = MessageCodec.VERSION;
@@ -116,48 +116,62 @@
             }
         }
         try {
-            GroupMessage read = MessageCodec.decode(datagram);
-            assertTrue(read.totals().weight() >= 0 && read.totals().rate() < 1e9);
-            assertEquals(datagram.length, MessageCodec.encode(read).length, 0);
+            GroupMessage decoded = MessageCodec.decode(datagram);
+            assertTrue(decoded.totals().weight() >= 0 && decoded.totals().rate() < 1e9);
+            assertEquals(datagram.length, MessageCodec.encode(decoded).length, 0);
         } catch (MalformedMessageException expected) {
             assertTrue(expected.getMessage(), expected.getMessage().length() > 0);
         }
     }
 
     @Property(seed = SEED, tries = 500)
-    void countsAreExactWhileSmallAndCloseWhereLarge(@ForAll @IntRange(min = 0, max = 400_000) int count) {
-        long byShort = CompactCount.SHORT.decode(CompactCount.SHORT.encode(count));
-        assertTrue(count < 2048 ? byShort == count : byShort <= count && byShort >= count - count / 1024.0);
-        long byByte = CompactCount.BYTE.decode(CompactCount.BYTE.encode(Math.min(count, 250_000)));
-        int bound = Math.min(count, 250_000);
-        assertTrue(count < 32 ? byByte == count : byByte <= bound && byByte >= bound - bound / 16.0);
+    void compactCountsAreExactWhenSmallAndWithinErrorBoundWhenLarge(
+            @ForAll @IntRange(min = 0, max = 400_000) int count) {
+        long fromShort = CompactCount.SHORT.decode(CompactCount.SHORT.encode(count));
+        assertTrue(count < 2048 ? fromShort == count : fromShort <= count && fromShort >= count - count / 1024.0);
+        long fromByte = CompactCount.BYTE.decode(CompactCount.BYTE.encode(Math.min(count, 250_000)));
+        int byteCount = Math.min(count, 250_000);
+        assertTrue(count < 32 ? fromByte == count : fromByte <= byteCount && fromByte >= byteCount - byteCount / 16.0);
     }
 
     @Example
-    void countsGrowWithTheirCodes() {
-        for (CompactCount kind : CompactCount.values()) {
-            long last = -1;
-            for (int code = 0; code <= kind.encode(Long.MAX_VALUE); code++) {
-                long count = kind.decode(code);
-                assertTrue(kind + " " + code, count > last || code > 50_000);
-                last = count;
+    void compactCountsIncreaseWithCode() {
+        for (CompactCount encoding : CompactCount.values()) {
+            long previousCount = -1;
+            for (int code = 0; code <= encoding.encode(Long.MAX_VALUE); code++) {
+                long count = encoding.decode(code);
+                assertTrue(encoding + " " + code, count > previousCount || code > 50_000);
+                previousCount = count;
             }
-            assertEquals(0, kind.decode(kind.encode(-5)));
+            assertEquals(0, encoding.decode(encoding.encode(-5)));
         }
     }
 
     @Example
-    void theLongestMessageThatARuleCanMakeFits() throws Exception {
+    void largestMessageFitsIntoDatagram() throws Exception {
         Random random = new Random(1);
-        int[] all = new int[Places.LARGEST_GROUP];
-        Arrays.fill(all, 0xffff);
-        Commitment full = new Commitment(0xffff, all);
+        int[] maxTransfers = new int[Places.LARGEST_GROUP];
+        Arrays.fill(maxTransfers, 0xffff);
+        Commitment full = new Commitment(0xffff, maxTransfers);
         List<Integer> speakers = new ArrayList<>(java.util.Collections.nCopies(Places.LARGEST_GROUP, 639));
-        Digest digest = new Digest(1, 1, 1, totals(random), speakers, loads(random, 30, 4));
+        Digest digest = new Digest(1, 1, 1, randomTotals(random), speakers, randomLoads(random, 30, 4));
         GroupMessage message = new GroupMessage(
-                Level.REGION, 1, 1, 1, 0, 9, 9, true, 1, full, full, totals(random), loads(random, 30, 6), digest);
+                Level.REGION,
+                1,
+                1,
+                1,
+                0,
+                9,
+                9,
+                true,
+                1,
+                full,
+                full,
+                randomTotals(random),
+                randomLoads(random, 30, 6),
+                digest);
         byte[] datagram = MessageCodec.encodeFitting(message);
-        assertTrue("" + datagram.length, datagram.length <= MessageCodec.LONGEST);
+        assertTrue("" + datagram.length, datagram.length <= MessageCodec.MAX_DATAGRAM_BYTES);
         assertEquals(full, MessageCodec.decode(datagram).commitment());
     }
 }
