--- a/tier/src/main/java/baymoor/tier/split/RobustRate.java
+++ b/tier/src/main/java/baymoor/tier/split/RobustRate.java
@@ -22,19 +22,19 @@
 
     /** The weighted lower median of all estimates that have learned something, or 0 where none has. */
     public static double of(List<Estimate> estimates) {
-        List<Estimate> learned = new ArrayList<>();
-        long members = 0;
+        List<Estimate> known = new ArrayList<>();
+        long totalMembers = 0;
         for (Estimate estimate : estimates) {
             if (estimate.perSecond() > 0 && estimate.members() > 0) {
-                learned.add(estimate);
-                members += estimate.members();
+                known.add(estimate);
+                totalMembers += estimate.members();
             }
         }
-        learned.sort(Comparator.comparingDouble(Estimate::perSecond));
-        long below = 0;
-        for (Estimate estimate : learned) {
-            below += estimate.members();
-            if (2 * below >= members) {
+        known.sort(Comparator.comparingDouble(Estimate::perSecond));
+        long cumulativeMembers = 0;
+        for (Estimate estimate : known) {
+            cumulativeMembers += estimate.members();
+            if (2 * cumulativeMembers >= totalMembers) {
                 return estimate.perSecond();
             }
         }
--- a/tier/src/main/java/baymoor/tier/split/Split.java
+++ b/tier/src/main/java/baymoor/tier/split/Split.java
@@ -6,7 +6,7 @@
 public final class Split {
 
     /** Tolerance for quotients that are whole but for rounding. */
-    private static final double ROUNDING = 1e-9;
+    private static final double ROUNDING_TOLERANCE = 1e-9;
 
     private Split() {}
 
@@ -26,7 +26,7 @@
         }
         long surplus = -total;
         for (int i = 0; i < weights.length; i++) {
-            shares[i] = (long) Math.ceil(total * weights[i] / sum - ROUNDING);
+            shares[i] = (long) Math.ceil(total * weights[i] / sum - ROUNDING_TOLERANCE);
             surplus += shares[i];
         }
         removeSurplus(shares, draws, surplus);
@@ -34,16 +34,16 @@
     }
 
     private static void removeSurplus(long[] shares, int[] draws, long surplus) {
-        long[] order = new long[shares.length];
+        long[] sortKeys = new long[shares.length];
         int count = 0;
         for (int i = 0; i < shares.length; i++) {
             if (shares[i] > 0) {
-                order[count++] = ((long) draws[i] << Integer.SIZE) + i;
+                sortKeys[count++] = ((long) draws[i] << Integer.SIZE) + i;
             }
         }
-        Arrays.sort(order, 0, count);
+        Arrays.sort(sortKeys, 0, count);
         for (int rank = 0; rank < Math.min(surplus, count); rank++) {
-            shares[(int) order[rank]]--;
+            shares[(int) sortKeys[rank]]--;
         }
     }
 }
--- a/tier/src/test/java/baymoor/tier/LayoutTest.java
+++ b/tier/src/test/java/baymoor/tier/LayoutTest.java
@@ -11,31 +11,31 @@
 /** The module is pure: no cycles, nothing but the JDK, no socket, file, thread, clock or randomness without a seed. */
 public class LayoutTest {
 
-    private static final JavaClasses MODULE = new ClassFileImporter()
+    private static final JavaClasses CLASSES = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
             .importPackages("baymoor.tier");
 
     @Test
-    public void packagesImportInOneDirection() {
-        slices().matching("baymoor.tier.(*)..").should().beFreeOfCycles().check(MODULE);
+    public void packagesAreFreeOfCycles() {
+        slices().matching("baymoor.tier.(*)..").should().beFreeOfCycles().check(CLASSES);
     }
 
     @Test
-    public void nothingButTheLanguageIsUsed() {
+    public void dependsOnlyOnJdkPackages() {
         ArchRuleDefinition.classes()
                 .should()
                 .onlyDependOnClassesThat()
                 .resideInAnyPackage("baymoor.tier..", "java.lang", "java.lang.runtime", "java.util..", "java.nio")
-                .check(MODULE);
+                .check(CLASSES);
         ArchRuleDefinition.noClasses()
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage("java.util.concurrent..", "java.lang.reflect..")
-                .check(MODULE);
+                .check(CLASSES);
     }
 
     @Test
-    public void noClockAndNoUnseededRandomness() {
+    public void usesNoClockThreadOrUnseededRandomness() {
         ArchRuleDefinition.noClasses()
                 .should()
                 .callMethod(System.class, "currentTimeMillis")
@@ -47,6 +47,6 @@
                 .orShould()
                 .dependOnClassesThat()
                 .areAssignableTo(Thread.class)
-                .check(MODULE);
+                .check(CLASSES);
     }
 }
--- a/tier/src/test/java/baymoor/tier/split/RobustRateTest.java
+++ b/tier/src/test/java/baymoor/tier/split/RobustRateTest.java
@@ -15,23 +15,23 @@
     private static final String SEED = "4713";
 
     @Property(seed = SEED, tries = 300)
-    void fewerThanHalfCannotMoveItOutsideOfWhatTheOthersSay(
-            @ForAll @IntRange(min = 1, max = 350) int honest,
-            @ForAll @IntRange(min = 0, max = 349) int wrong,
-            @ForAll double wild) {
+    void minorityCannotMoveMedianOutsideMajorityRange(
+            @ForAll @IntRange(min = 1, max = 350) int correct,
+            @ForAll @IntRange(min = 0, max = 349) int faulty,
+            @ForAll double outlier) {
         List<Estimate> estimates = new ArrayList<>();
-        for (int i = 0; i < honest; i++) {
+        for (int i = 0; i < correct; i++) {
             estimates.add(new Estimate(100 + i % 7, 1));
         }
-        for (int i = 0; i < Math.min(wrong, honest - 1); i++) {
-            estimates.add(new Estimate(Math.abs(wild) + 1, 1));
+        for (int i = 0; i < Math.min(faulty, correct - 1); i++) {
+            estimates.add(new Estimate(Math.abs(outlier) + 1, 1));
         }
         double rate = RobustRate.of(estimates);
         assertTrue("" + rate, rate >= 100 && rate <= 106);
     }
 
     @net.jqwik.api.Example
-    void aLargeGroupCountsForItsMembersAndWhoHasLearnedNothingDoesNot() {
+    void weightsEstimatesByMembersAndIgnoresUnknownRates() {
         assertEquals(50, RobustRate.of(List.of(new Estimate(50, 10), new Estimate(10, 4), new Estimate(10, 5))), 0);
         assertEquals(10, RobustRate.of(List.of(new Estimate(0, 100), new Estimate(10, 1))), 0);
         assertEquals(0, RobustRate.of(List.of(new Estimate(0, 100))), 0);
