--- a/tier/src/main/java/baymoor/tier/place/Group.java
+++ b/tier/src/main/java/baymoor/tier/place/Group.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * One group of the tier.
+ * A group of the tier's topology: a site, a zone, a region or the whole tier. Immutable.
  *
- * @param level what kind of place it is
- * @param number its index among the groups of its level
- * @param name as the operators call it
- * @param children numbers of balancers for a site, of groups one level down for all others
- * @param sizes the number of balancers below each child
+ * @param level the level of the group in the topology
+ * @param number the index of the group among the groups of its level
+ * @param name the name from the places file, or {@code tier} for the root
+ * @param children the numbers of the children: balancers for a site, groups of the next lower level otherwise
+ * @param sizes the number of balancers below each child, in the order of {@code children}
  */
 public record Group(Level level, int number, String name, List<Integer> children, List<Integer> sizes) {
 
@@ -18,7 +18,7 @@
         sizes = List.copyOf(sizes);
     }
 
-    /** The number of balancers in the group. */
+    /** Returns the number of balancers in the group. */
     public int members() {
         return sizes.stream().mapToInt(Integer::intValue).sum();
     }
--- a/tier/src/main/java/baymoor/tier/place/Level.java
+++ b/tier/src/main/java/baymoor/tier/place/Level.java
@@ -1,6 +1,6 @@
 package baymoor.tier.place;
 
-/** The levels of groups, named after what a group of that level is; its children are one level down. */
+/** The levels of the tier's topology, from the lowest to the root. The children of a group belong to the next lower level. */
 public enum Level {
     /** A site; its children are balancers. */
     SITE,
@@ -16,17 +16,17 @@
     /** The number of levels. */
     public static final int COUNT = LEVELS.length;
 
-    /** The level with this ordinal. */
+    /** Returns the level with the given ordinal. */
     public static Level of(int ordinal) {
         return LEVELS[ordinal];
     }
 
-    /** Whether no level is above this one. */
+    /** Returns whether this is the highest level. */
     public boolean isTop() {
         return this == TIER;
     }
 
-    /** The next level up. */
+    /** Returns the next higher level; undefined for {@link #TIER}. */
     public Level above() {
         return LEVELS[ordinal() + 1];
     }
--- a/tier/src/main/java/baymoor/tier/place/Places.java
+++ b/tier/src/main/java/baymoor/tier/place/Places.java
@@ -5,16 +5,18 @@
 import java.util.List;
 import java.util.Map;
 
-/** Where each balancer stands: the tree of groups from sites to the whole tier. Immutable. */
+/** The topology of the tier: a tree of sites, zones and regions whose leaves are balancers. Immutable. */
 public final class Places {
 
-    /** The most children of a group: acknowledgements of all of them fit 16 bits. */
+    /** The maximum number of children of a group; a commitment acknowledges children in 16 bits. */
     public static final int LARGEST_GROUP = 16;
 
     /**
-     * A site as an operator describes it.
+     * A site as described in the places file.
      *
-     * @param balancers the numbers of its balancers
+     * @param name the name of the site
+     * @param zone the name of the zone that contains the site
+     * @param balancers the numbers of the balancers at the site
      */
     public record Site(String name, String zone, List<Integer> balancers) {
         public Site {
@@ -28,9 +30,9 @@
     private final int[][] childIndexes;
 
     /**
-     * Builds the tree. The arguments are checked by {@link PlacesReader}; here they are taken as consistent.
+     * Creates the topology. The arguments must be consistent, as {@link PlacesReader} ensures; they are not validated.
      *
-     * @param sites all sites, with each balancer number from 0 in exactly one
+     * @param sites all sites; each balancer number, counted from 0, belongs to exactly one of them
      * @param regionByZone the region of each zone
      */
     public Places(List<Site> sites, Map<String, String> regionByZone) {
@@ -89,27 +91,27 @@
         }
     }
 
-    /** The number of balancers of the tier. */
+    /** Returns the number of balancers in the tier. */
     public int balancers() {
         return balancers;
     }
 
-    /** All groups of a level. */
+    /** Returns all groups of a level. */
     public List<Group> groups(Level level) {
         return groups.get(level.ordinal());
     }
 
-    /** The group of a level that a balancer stands in. */
+    /** Returns the group of the given level that contains the balancer. */
     public Group group(Level level, int balancer) {
         return groups.get(level.ordinal()).get(groupNumbers[level.ordinal()][balancer]);
     }
 
-    /** The index of the child of that group below which the balancer stands. */
+    /** Returns the index, within the balancer's group of the given level, of the child that contains the balancer. */
     public int child(Level level, int balancer) {
         return childIndexes[level.ordinal()][balancer];
     }
 
-    /** The balancers below a child of a group, in the order of the file. */
+    /** Returns the balancers below a child of a group, in the order of the places file. */
     public List<Integer> balancersBelow(Group group, int child) {
         if (group.level() == Level.SITE) {
             return List.of(group.children().get(child));
--- a/tier/src/main/java/baymoor/tier/place/PlacesException.java
+++ b/tier/src/main/java/baymoor/tier/place/PlacesException.java
@@ -1,6 +1,6 @@
 package baymoor.tier.place;
 
-/** A file of places that can't be used; the message is one line with file, line and field. */
+/** Thrown when a places file is invalid. The message is a single line with the file, the line and the field. */
 public final class PlacesException extends Exception {
 
     private static final long serialVersionUID = 1L;
--- a/tier/src/main/java/baymoor/tier/place/PlacesReader.java
+++ b/tier/src/main/java/baymoor/tier/place/PlacesReader.java
@@ -11,7 +11,8 @@
 import java.util.regex.Pattern;
 
 /**
- * Reads the operators' file of places: the part of TOML that consists of arrays of tables with text and whole numbers.
+ * Reads the places file, which describes the topology of the tier. The format is a subset of TOML: root fields and arrays of
+ * tables whose values are strings or integers.
  *
  * <pre>
  * balancers = 26
@@ -30,10 +31,16 @@
  */
 public final class PlacesReader {
 
-    /** What the file says. */
+    /** The content of a places file. */
     public record Result(Places places, List<Delay> delays) {}
 
-    /** The time that a datagram takes between two regions, for rehearsals. */
+    /**
+     * The one-way network delay between two regions, for simulated networks.
+     *
+     * @param from the region of the sender
+     * @param to the region of the receiver
+     * @param micros the delay in microseconds
+     */
     public record Delay(String from, String to, long micros) {}
 
     private static final Pattern TABLE_HEADER = Pattern.compile("\\[\\[\\s*(\\w+)\\s*]]");
@@ -61,10 +68,11 @@
     }
 
     /**
-     * Reads a file's text.
+     * Parses and validates the text of a places file.
      *
-     * @param file its name for messages
-     * @throws PlacesException with the first mistake
+     * @param file the file name to use in error messages
+     * @param text the content of the file
+     * @throws PlacesException if the file is invalid; describes the first error
      */
     public static Result read(String file, String text) throws PlacesException {
         PlacesReader reader = new PlacesReader(file);
@@ -103,24 +111,28 @@
         Matcher table = TABLE_HEADER.matcher(line);
         if (table.matches()) {
             if (!FIELDS_BY_TABLE.containsKey(table.group(1))) {
-                throw error(lineNumber, table.group(1), "is no table; there are [[zone]], [[site]] and [[delay]]");
+                throw error(
+                        lineNumber, table.group(1), "is not a known table; expected [[zone]], [[site]] or [[delay]]");
             }
             tables.add(new Table(table.group(1), lineNumber, new LinkedHashMap<>()));
             return;
         }
         Matcher field = FIELD.matcher(line);
         if (!field.matches()) {
-            throw error(lineNumber, "line", "is neither [[table]] nor field = \"text\" or a whole number");
+            throw error(
+                    lineNumber,
+                    "line",
+                    "is neither a [[table]] header nor a field set to a quoted string or an integer");
         }
         Table current = tables.get(tables.size() - 1);
         String name = field.group(1);
         if (!FIELDS_BY_TABLE.get(current.name()).contains(name)) {
-            throw error(lineNumber, name, "is not a field here");
+            throw error(lineNumber, name, "is not a known field of this table");
         }
         boolean quoted = field.group(2) != null;
         Value value = new Value(quoted ? field.group(2) : field.group(3).replace("_", ""), quoted, lineNumber);
         if (current.values().put(name, value) != null) {
-            throw error(lineNumber, name, "stands here twice");
+            throw error(lineNumber, name, "is set twice");
         }
     }
 
@@ -135,14 +147,14 @@
     private Value requiredString(Table table, String field) throws PlacesException {
         Value value = requiredValue(table, field);
         if (!value.quoted() || value.text().isBlank()) {
-            throw error(value.line(), field, "is not a text in quotes");
+            throw error(value.line(), field, "is not a non-empty quoted string");
         }
         return value;
     }
 
     private int parseInteger(Value value, String field, int min, int max) throws PlacesException {
         if (value.quoted() || value.text().length() > 9 || value.text().isEmpty()) {
-            throw error(value.line(), field, "is not a whole number");
+            throw error(value.line(), field, "is not an integer of at most 9 digits");
         }
         int number = Integer.parseInt(value.text());
         if (number < min || number > max) {
@@ -158,7 +170,7 @@
         }
         Value balancersValue = root.values().get("balancers");
         if (balancersValue == null) {
-            throw error(1, "balancers", "is missing: the number of all balancers");
+            throw error(1, "balancers", "is missing; expected the total count");
         }
         int balancerCount = parseInteger(balancersValue, "balancers", 1, MAX_BALANCERS);
         Map<String, String> regionByZone = new LinkedHashMap<>();
@@ -166,7 +178,7 @@
         for (Table table : tablesNamed("zone")) {
             Value name = requiredString(table, "name");
             if (regionByZone.put(name.text(), requiredString(table, "region").text()) != null) {
-                throw error(name.line(), "name", "= \"" + name.text() + "\" is a zone that there is already");
+                throw error(name.line(), "name", "= \"" + name.text() + "\" is already defined as a zone");
             }
             lineByZone.put(name.text(), name.line());
         }
@@ -189,7 +201,7 @@
             Value name = requiredString(table, "name");
             Value zone = requiredString(table, "zone");
             if (!regionByZone.containsKey(zone.text())) {
-                throw error(zone.line(), "zone", "= \"" + zone.text() + "\" is no [[zone]] of this file");
+                throw error(zone.line(), "zone", "= \"" + zone.text() + "\" is not a defined [[zone]]");
             }
             String previousZone = zoneBySite.put(name.text(), zone.text());
             if (previousZone != null) {
@@ -197,17 +209,17 @@
                         ? "twice in zone " + previousZone
                         : "in two zones, " + previousZone + " and ";
                 String placement = previousZone.equals(zone.text()) ? where : where + zone.text();
-                throw error(name.line(), "name", "= \"" + name.text() + "\" stands " + placement);
+                throw error(name.line(), "name", "= \"" + name.text() + "\" is listed " + placement);
             }
             List<Integer> numbers =
                     parseBalancers(requiredString(table, "balancers"), balancerCount, name.text(), siteByBalancer);
             sites.add(new Places.Site(name.text(), zone.text(), numbers));
         }
         if (sites.isEmpty()) {
-            throw error(1, "site", "is missing: there is no [[site]]");
+            throw error(1, "site", "is missing; at least one [[site]] is required");
         }
         if (sites.size() > MAX_SITES) {
-            throw error(1, "site", "stands here " + sites.size() + " times, over " + MAX_SITES);
+            throw error(1, "site", "is defined " + sites.size() + " times; the limit is " + MAX_SITES);
         }
         return sites;
     }
@@ -218,16 +230,18 @@
         for (String item : value.text().split(",")) {
             Matcher range = RANGE.matcher(item.strip());
             if (!range.matches()) {
-                throw error(value.line(), "balancers", "= \"" + value.text() + "\" is no list like \"0-12, 14\"");
+                throw error(value.line(), "balancers", "= \"" + value.text() + "\" is not a list such as \"0-12, 14\"");
             }
             int first = Integer.parseInt(range.group(1));
             int last = range.group(2) == null ? first : Integer.parseInt(range.group(2));
             if (last < first) {
-                throw error(value.line(), "balancers", "goes down from " + first + " to " + last);
+                throw error(value.line(), "balancers", "has a descending range from " + first + " to " + last);
             }
             if (last >= balancerCount) {
                 throw error(
-                        value.line(), "balancers", "names number " + last + "; the last one is " + (balancerCount - 1));
+                        value.line(),
+                        "balancers",
+                        "contains balancer " + last + "; the highest number is " + (balancerCount - 1));
             }
             for (int number = first; number <= last; number++) {
                 String previousSite = siteByBalancer.put(number, site);
@@ -235,7 +249,7 @@
                     throw error(
                             value.line(),
                             "balancers",
-                            "names number " + number + " twice, also in site " + previousSite);
+                            "contains balancer " + number + ", already listed in site " + previousSite);
                 }
                 numbers.add(number);
             }
@@ -247,7 +261,7 @@
     }
 
     private String tooManyMembers(String group, int size) {
-        return "gives " + group + " " + size + " members, over " + largestGroup;
+        return "assigns " + size + " members to " + group + "; the limit is " + largestGroup;
     }
 
     private void checkEveryBalancerPlaced(int line, int balancerCount, List<Places.Site> sites) throws PlacesException {
@@ -255,7 +269,8 @@
         sites.forEach(s -> s.balancers().forEach(b -> placed[b] = true));
         for (int number = 0; number < balancerCount; number++) {
             if (!placed[number]) {
-                throw error(line, "balancers", "is " + balancerCount + ", but number " + number + " is in no site");
+                throw error(
+                        line, "balancers", "is " + balancerCount + ", but balancer " + number + " is not in any site");
             }
         }
     }
@@ -270,7 +285,7 @@
             int line = lineByZone.get(zone.getKey());
             int size = siteCountByZone.getOrDefault(zone.getKey(), 0);
             if (size == 0) {
-                throw error(line, "name", "= \"" + zone.getKey() + "\" is a zone without a site");
+                throw error(line, "name", "= \"" + zone.getKey() + "\" is a zone without sites");
             }
             if (size > largestGroup) {
                 throw error(line, "name", tooManyMembers("zone " + zone.getKey(), size));
@@ -293,7 +308,9 @@
             Matcher matcher = DURATION.matcher(time.text());
             if (!matcher.matches()) {
                 throw error(
-                        time.line(), "time", "= " + time.text() + " has no unit; write \"38ms\", \"38us\" or \"1s\"");
+                        time.line(),
+                        "time",
+                        "= " + time.text() + " is not a duration such as \"38ms\", \"38us\" or \"1s\"");
             }
             double microsPerUnit = Map.of("us", 1.0, "ms", 1e3, "s", 1e6).get(matcher.group(2));
             delays.add(new Delay(from, to, Math.round(Double.parseDouble(matcher.group(1)) * microsPerUnit)));
@@ -304,7 +321,7 @@
     private String requiredRegion(Table table, String field, Set<String> regions) throws PlacesException {
         Value value = requiredString(table, field);
         if (!regions.contains(value.text())) {
-            throw error(value.line(), field, "= \"" + value.text() + "\" is no region of this file");
+            throw error(value.line(), field, "= \"" + value.text() + "\" is not a defined region");
         }
         return value.text();
     }
