--- a/tier/src/main/java/baymoor/tier/message/Commitment.java
+++ b/tier/src/main/java/baymoor/tier/message/Commitment.java
@@ -3,20 +3,21 @@
 import java.util.Arrays;
 
 /**
- * What a child of a group binds itself to in one epoch, once and for all: whom of its siblings it acknowledges, and how much
- * of its own part it gives to each of them, in a later epoch that follows from the level.
+ * The irrevocable commitment of a group's child in one epoch: which siblings it acknowledges as alive, and how many units of
+ * its own share it transfers to each of them. Both take effect in a later epoch that depends on the level. The array must not
+ * be modified after construction.
  *
- * @param acknowledged bit i is set where child i has been heard lately
- * @param gives units given to each child
+ * @param acknowledged a bit set in which bit {@code i} is set if a recent message from child {@code i} was received
+ * @param gives the units transferred to each child, indexed by child
  */
 public record Commitment(int acknowledged, int[] gives) {
 
-    /** Whether a sibling is acknowledged. */
+    /** Returns whether the commitment acknowledges the given child. */
     public boolean acknowledges(int child) {
         return (acknowledged >> child & 1) != 0;
     }
 
-    /** All that is given away. */
+    /** Returns the sum of all transferred units. */
     public long given() {
         return Arrays.stream(gives).asLongStream().sum();
     }
--- a/tier/src/main/java/baymoor/tier/message/CompactCount.java
+++ b/tier/src/main/java/baymoor/tier/message/CompactCount.java
@@ -1,10 +1,13 @@
 package baymoor.tier.message;
 
-/** Counts in one or two bytes: exact while they are small, floating point with a relative error of a mantissa step above. */
+/**
+ * Encodings of a count in one or two bytes: exact for small counts, and an unsigned floating-point format with truncation for
+ * larger ones.
+ */
 public enum CompactCount {
-    /** Exact to 31, then within 1/16. */
+    /** One byte: exact up to 31, then with a relative error below 1/16. */
     BYTE(4),
-    /** Exact to 2047, then within 1/1024. */
+    /** Two bytes: exact up to 2047, then with a relative error below 1/1024. */
     SHORT(10);
 
     private final int mantissaBits;
@@ -15,7 +18,7 @@
         maxCode = mantissaBits == 4 ? 0xff : 0xffff;
     }
 
-    /** The code of a count; one that is too large becomes the largest there is, a negative one 0. */
+    /** Returns the code of a count. Counts above the range are clamped to the highest code, negative counts to 0. */
     public int encode(long count) {
         long value = Math.max(0, count);
         int exponent = Math.max(0, Long.SIZE - Long.numberOfLeadingZeros(value) - mantissaBits - 1);
@@ -23,7 +26,7 @@
         return (int) Math.min(maxCode, code);
     }
 
-    /** The count of a code. */
+    /** Returns the count that a code stands for. */
     public long decode(int code) {
         int exponent = Math.max(0, (code >> mantissaBits) - 1);
         return (long) (code - (exponent << mantissaBits)) << Math.min(exponent, Long.SIZE - mantissaBits - 3);
--- a/tier/src/main/java/baymoor/tier/message/Digest.java
+++ b/tier/src/main/java/baymoor/tier/message/Digest.java
@@ -3,26 +3,26 @@
 import java.util.List;
 
 /**
- * What the holder of a group's lease tells the group's children of everything outside of the group.
+ * A summary of the tier outside a group, sent by the holder of the group's lease to the group's children. Immutable.
  *
- * @param nextPart the group's part of the movable allowance in the first epoch that the message is about
- * @param laterPart the same in the epoch after that
- * @param rate the allowance that the whole tier goes by, fetches a second; 0 where none is known
- * @param outside totals of all balancers outside of the group
- * @param speakers the balancers that speak for the group's siblings, {@link #UNKNOWN} where none is known
- * @param loads what the balancers outside have out at routers
+ * @param nextPart the group's share of the redistributable allowance, from 0 to 1, in the first epoch that the digest covers
+ * @param laterPart the group's share in the epoch after that
+ * @param rate the allowance of the whole tier in fetches per second, or 0 if unknown
+ * @param outside the totals of all balancers outside the group
+ * @param speakers the balancers that send on behalf of the group and its siblings, {@link #UNKNOWN} where none is known
+ * @param loads the attempts in flight at routers from balancers outside the group
  */
 public record Digest(
         double nextPart, double laterPart, double rate, Totals outside, List<Integer> speakers, LoadReport loads) {
 
-    /** In place of a balancer's number. */
+    /** The number that stands for an unknown balancer. */
     public static final int UNKNOWN = 0xffff;
 
     public Digest {
         speakers = List.copyOf(speakers);
     }
 
-    /** The same without loads. */
+    /** Returns a copy without loads. */
     Digest withoutLoads() {
         return new Digest(nextPart, laterPart, rate, outside, speakers, LoadReport.NONE);
     }
--- a/tier/src/main/java/baymoor/tier/message/GroupMessage.java
+++ b/tier/src/main/java/baymoor/tier/message/GroupMessage.java
@@ -3,23 +3,23 @@
 import baymoor.tier.place.Level;
 
 /**
- * The one message of the exchange: what a child of a group tells its siblings once an epoch, and as holder of the group's
- * lease what is outside.
+ * The message that a child of a group sends to its siblings once per epoch. It carries the child's vote, commitment and
+ * totals and, if the child holds the group's lease, a digest of the tier outside the group. Immutable.
  *
- * @param level the group's level
- * @param group its number
- * @param child index of the child that is spoken for
- * @param speaker the balancer that speaks
- * @param hops how often the message has been passed on to a newer speaker
- * @param epoch the epoch in which it was made
- * @param term the highest term of the lease that the speaker knows; its own where it claims the lease
- * @param claims whether the speaker's child claims the lease
- * @param vote the child that the speaker's child votes for in this epoch
- * @param commitment what the child binds itself to in this epoch, or null
- * @param previous the same of the epoch before, once more, or null
- * @param totals figures of the child
- * @param loads what the child has out at routers
- * @param digest what the holder tells, or null
+ * @param level the level of the group
+ * @param group the number of the group
+ * @param child the index of the child on whose behalf the message is sent
+ * @param speaker the number of the balancer that sends on behalf of the child
+ * @param hops how many times the message has been forwarded to a newer speaker
+ * @param epoch the epoch in which the message was created
+ * @param term the highest lease term known to the speaker, or the child's own term if it claims the lease
+ * @param claims whether the child claims the lease
+ * @param vote the index of the child that this child votes for in this epoch
+ * @param commitment the child's commitment of this epoch, or null
+ * @param previous the child's commitment of the previous epoch, repeated in case its message was lost, or null
+ * @param totals the totals of the child
+ * @param loads the child's attempts in flight at routers
+ * @param digest the digest from the holder of the lease, or null
  */
 public record GroupMessage(
         Level level,
@@ -37,13 +37,13 @@
         LoadReport loads,
         Digest digest) {
 
-    /** The same without the commitment of the epoch before. */
+    /** Returns a copy without the commitment of the previous epoch. */
     GroupMessage withoutPreviousCommitment() {
         return new GroupMessage(
                 level, group, child, speaker, hops, epoch, term, claims, vote, commitment, null, totals, loads, digest);
     }
 
-    /** The same without any loads. */
+    /** Returns a copy without the loads of the child and of the digest. */
     GroupMessage withoutLoads() {
         Digest digestWithoutLoads = digest == null ? null : digest.withoutLoads();
         return new GroupMessage(
--- a/tier/src/main/java/baymoor/tier/message/LoadReport.java
+++ b/tier/src/main/java/baymoor/tier/message/LoadReport.java
@@ -3,25 +3,27 @@
 import java.util.Arrays;
 
 /**
- * Attempts that are out at routers: some routers by a hash of their id, and a run of those in the order of these hashes.
+ * A partial report of the attempts in flight at routers. It holds the counts of consecutive routers, in the order of the
+ * hashes of their ids, and those of individual routers that are identified by their hash. The arrays must not be modified
+ * after construction.
  *
- * @param fingerprint a hash of the sender's list of routers; the run means something only to who has the same list
- * @param start index of the run's first router
- * @param run codes of the run's counts ({@link CompactCount#BYTE})
- * @param tags hashes of the routers that are told apart from the run
- * @param codes codes of their counts
+ * @param fingerprint a hash of the sender's router list; {@code run} is valid only for receivers with the same list
+ * @param start the index in the router list of the first router of {@code run}
+ * @param run the counts of consecutive routers, encoded with {@link CompactCount#BYTE}
+ * @param tags the hashes of the individually reported routers
+ * @param codes the counts of the individually reported routers, encoded with {@link CompactCount#BYTE}
  */
 public record LoadReport(int fingerprint, int start, byte[] run, int[] tags, byte[] codes) {
 
-    /** Nothing told. */
+    /** The empty report. */
     public static final LoadReport NONE = new LoadReport(0, 0, new byte[0], new int[0], new byte[0]);
 
-    /** Bytes of a report without entries. */
+    /** The encoded size of a report without entries, in bytes. */
     static final int HEADER_BYTES = 6;
-    /** Bytes of an entry that stands apart. */
+    /** The encoded size of an individually reported router, in bytes. */
     static final int TAGGED_ENTRY_BYTES = 3;
 
-    /** The number of bytes that it takes. */
+    /** Returns the encoded size in bytes. */
     public int encodedBytes() {
         return HEADER_BYTES + run.length + TAGGED_ENTRY_BYTES * tags.length;
     }
@@ -43,6 +45,6 @@
 
     @Override
     public String toString() {
-        return "LoadReport[" + start + "+" + run.length + ", " + tags.length + " apart]";
+        return "LoadReport[" + start + "+" + run.length + ", " + tags.length + " tagged]";
     }
 }
--- a/tier/src/main/java/baymoor/tier/message/MalformedMessageException.java
+++ b/tier/src/main/java/baymoor/tier/message/MalformedMessageException.java
@@ -1,6 +1,6 @@
 package baymoor.tier.message;
 
-/** A datagram that is no message of any version understood here. */
+/** Thrown when a datagram is not a valid message of a supported version. Carries no stack trace. */
 public final class MalformedMessageException extends Exception {
 
     private static final long serialVersionUID = 1L;
--- a/tier/src/main/java/baymoor/tier/message/MessageCodec.java
+++ b/tier/src/main/java/baymoor/tier/message/MessageCodec.java
@@ -8,14 +8,17 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Group messages as datagrams of 256 bytes at most. The first byte is the version; others are no group messages. */
+/**
+ * Encodes group messages as datagrams of at most 256 bytes and decodes them. The first byte of a datagram is the version of
+ * the format. Stateless; any thread may call it.
+ */
 public final class MessageCodec {
 
-    /** The first byte of a group message; the version before has 1 ({@link PreviousVersion}). */
+    /** The version of the format, the first byte of a datagram. The previous version is {@link PreviousVersion#VERSION}. */
     public static final byte VERSION = 2;
-    /** The longest datagram. */
+    /** The maximum size of a datagram in bytes. */
     public static final int MAX_DATAGRAM_BYTES = 256;
-    /** The most passes from a balancer to a newer speaker. */
+    /** The maximum number of times a message is forwarded to a newer speaker. */
     public static final int MOST_HOPS = 3;
 
     private static final int FLAGS_OFFSET = 1;
@@ -33,16 +36,21 @@
         return quantity >= 0 && quantity < QUANTITY_LIMIT;
     }
 
-    /** Whether a datagram says that it is a group message. */
+    /** Returns whether a datagram carries the version of this format. */
     public static boolean matches(byte[] datagram) {
         return datagram.length > 0 && datagram[0] == VERSION;
     }
 
-    /** The datagram of a message. */
+    /**
+     * Encodes a message.
+     *
+     * @throws IllegalArgumentException if the message exceeds {@link #MAX_DATAGRAM_BYTES}
+     */
     public static byte[] encode(GroupMessage message) {
         byte[] datagram = serialize(message);
         if (datagram.length > MAX_DATAGRAM_BYTES) {
-            throw new IllegalArgumentException("a message of " + datagram.length + " bytes");
+            throw new IllegalArgumentException(
+                    "message of " + datagram.length + " bytes exceeds the maximum datagram size");
         }
         return datagram;
     }
@@ -65,7 +73,12 @@
         return Arrays.copyOf(out.array(), out.position());
     }
 
-    /** The datagram of a message, without what can be missed in it where it would be too long. */
+    /**
+     * Encodes a message, omitting optional parts as needed to fit {@link #MAX_DATAGRAM_BYTES}: first the previous commitment,
+     * then the loads.
+     *
+     * @throws IllegalArgumentException if the message is too long even without these parts
+     */
     public static byte[] encodeFitting(GroupMessage message) {
         byte[] full = serialize(message);
         if (full.length <= MAX_DATAGRAM_BYTES) {
@@ -76,7 +89,7 @@
         return shortened.length <= MAX_DATAGRAM_BYTES ? shortened : encode(withoutPrevious.withoutLoads());
     }
 
-    /** The same datagram, passed on once more. */
+    /** Returns a copy of an encoded message with the hop count incremented. */
     public static byte[] passedOn(byte[] datagram) {
         byte[] copy = datagram.clone();
         copy[FLAGS_OFFSET] += (byte) (1 << HOPS_SHIFT);
@@ -134,21 +147,22 @@
     }
 
     /**
-     * The message of a datagram.
+     * Decodes a message.
      *
-     * @throws MalformedMessageException where it is of another version, cut off, too long, or holds impossible figures
+     * @throws MalformedMessageException if the datagram has another version, is truncated or too long, or holds a value out of
+     *     range
      */
     public static GroupMessage decode(byte[] datagram) throws MalformedMessageException {
         if (datagram.length > MAX_DATAGRAM_BYTES || !matches(datagram)) {
-            throw new MalformedMessageException("version or length");
+            throw new MalformedMessageException("unsupported version or datagram too long");
         }
         try {
             ByteBuffer in = ByteBuffer.wrap(datagram, 1, datagram.length - 1);
             GroupMessage message = readMessage(in);
-            require(!in.hasRemaining(), "bytes after the end");
+            require(!in.hasRemaining(), "trailing bytes after the message");
             return message;
         } catch (BufferUnderflowException e) {
-            throw new MalformedMessageException("cut off");
+            throw new MalformedMessageException("truncated message");
         }
     }
 
@@ -173,7 +187,7 @@
         int speaker = unsignedShort(in);
         int epoch = in.getInt();
         int term = in.getInt();
-        require(epoch >= 0 && term >= 0, "epoch or term");
+        require(epoch >= 0 && term >= 0, "negative epoch or term");
         Commitment commitment = (flags & COMMITMENT_FLAG) != 0 ? readCommitment(in) : null;
         Commitment previous = (flags & PREVIOUS_COMMITMENT_FLAG) != 0 ? readCommitment(in) : null;
         Totals totals = readTotals(in);
@@ -202,7 +216,7 @@
         int previousChild = -1;
         for (int count = unsignedByte(in); count > 0; count--) {
             int child = unsignedByte(in);
-            require(child > previousChild && child < gives.length, "order of what is given");
+            require(child > previousChild && child < gives.length, "transfers out of order or to an unknown child");
             gives[child] = unsignedShort(in);
             previousChild = child;
         }
@@ -214,7 +228,7 @@
         int draw = unsignedShort(in);
         float weight = in.getFloat();
         float rate = in.getFloat();
-        require(isValidQuantity(weight) && isValidQuantity(rate), "weight or rate");
+        require(isValidQuantity(weight) && isValidQuantity(rate), "weight or rate out of range");
         long[] counts = new long[6];
         for (int i = 0; i < counts.length; i++) {
             counts[i] = CompactCount.SHORT.decode(unsignedShort(in));
@@ -239,7 +253,7 @@
 
     private static double readShare(ByteBuffer in) throws MalformedMessageException {
         int scaled = in.getInt();
-        require(scaled >= 0, "part");
+        require(scaled >= 0, "negative share");
         return (double) scaled / SHARE_SCALE;
     }
 
@@ -247,10 +261,10 @@
         double nextShare = readShare(in);
         double laterShare = readShare(in);
         float rate = in.getFloat();
-        require(isValidQuantity(rate), "rate");
+        require(isValidQuantity(rate), "rate out of range");
         Totals outside = readTotals(in);
         int count = unsignedByte(in);
-        require(count <= Places.LARGEST_GROUP, "speakers");
+        require(count <= Places.LARGEST_GROUP, "too many speakers");
         List<Integer> speakers = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             speakers.add(unsignedShort(in));
--- a/tier/src/main/java/baymoor/tier/message/Totals.java
+++ b/tier/src/main/java/baymoor/tier/message/Totals.java
@@ -6,19 +6,19 @@
 import java.util.List;
 
 /**
- * What a balancer, or all balancers of a group together, say of themselves. Fetches, answers and failures are those of the
- * last epoch.
+ * The totals reported by a balancer, or the sums over a set of balancers. The fetches, responses and failures are those of the
+ * last epoch. Immutable.
  *
- * @param members balancers that it stands for
- * @param fetched fetches from the store
- * @param queued misses that wait for a credit
- * @param weight sum of the weights of what was fetched and what waits
- * @param credits credits that are not spent
- * @param draw a random number for the removal of a surplus
- * @param rate the estimate of the allowance, fetches a second; 0 where nothing has been learned
- * @param answers answers of the store
- * @param latencyMillis the sum of their times
- * @param failures fetches that failed or timed out
+ * @param members the number of balancers included
+ * @param fetched the number of fetches from the origin
+ * @param queued the number of misses waiting for a credit
+ * @param weight the sum of the weights of the fetched and the queued misses
+ * @param credits the number of unspent credits
+ * @param draw a random number that decides who gives up units of a surplus
+ * @param rate the estimated allowance in fetches per second, or 0 if unknown
+ * @param answers the number of responses from the origin
+ * @param latencyMillis the sum of the response latencies in milliseconds
+ * @param failures the number of fetches that failed or timed out
  */
 public record Totals(
         int members,
@@ -32,15 +32,15 @@
         long latencyMillis,
         long failures) {
 
-    /** Of nobody. */
+    /** The totals of no balancers. */
     public static final Totals NONE = new Totals(0, 0, 0, 0, 0, 0, 0, 0, 0, 0);
 
-    /** The same with another draw. */
+    /** Returns a copy with another draw. */
     public Totals withDraw(int newDraw) {
         return new Totals(members, fetched, queued, weight, credits, newDraw, rate, answers, latencyMillis, failures);
     }
 
-    /** All together, with the median of their estimates. */
+    /** Returns the sums over all parts, with the weighted median of the rates and without a draw. */
     public static Totals sum(List<Totals> parts) {
         Totals sum = NONE;
         List<Estimate> rates = new ArrayList<>();
--- a/tier/src/test/java/baymoor/tier/message/MessageCodecTest.java
+++ b/tier/src/test/java/baymoor/tier/message/MessageCodecTest.java
@@ -102,7 +102,7 @@
         Assert.assertThrows(MalformedMessageException.class, () -> MessageCodec.decode(oversized));
     }
 
-    /** Nothing but the codec's own exception may come of any bytes, and what is read may be written again. */
+    /** Guards against any other exception from corrupt input, and against decoded messages that cannot be encoded again. */
     @Property(seed = SEED, tries = 3000)
     void corruptDatagramsDecodeOrThrowMalformedMessage(@ForAll long seed) {
         Random random = new Random(seed);
