--- a/tier/src/main/java/baymoor/tier/split/Draws.java
+++ b/tier/src/main/java/baymoor/tier/split/Draws.java
@@ -1,18 +1,18 @@
 package baymoor.tier.split;
 
-/** Random draws from a seed (splitmix64); the same everywhere, and small enough to have one for each balancer. */
+/** A splitmix64 pseudorandom generator of 16-bit draws. The sequence depends only on the seed. Not thread-safe. */
 public final class Draws {
 
     private static final long GAMMA = 0x9e3779b97f4a7c15L;
 
     private long state;
 
-    /** Draws that follow from a seed. */
+    /** Creates a generator with the given seed. */
     public Draws(long seed) {
         state = seed;
     }
 
-    /** The next draw, 16 bits. */
+    /** Returns the next draw, from 0 to 65535. */
     public int next() {
         state += GAMMA;
         long x = state;
--- a/tier/src/main/java/baymoor/tier/split/RobustRate.java
+++ b/tier/src/main/java/baymoor/tier/split/RobustRate.java
@@ -5,22 +5,22 @@
 import java.util.List;
 
 /**
- * One rate from many estimates of it: their median, weighted by the number of balancers behind each. Fewer than half of the
- * balancers can neither raise it above nor lower it below what the others estimate.
+ * Combines estimates of a rate into their median, weighted by the number of balancers behind each estimate. Faulty estimates
+ * from fewer than half of the balancers cannot move the result outside the range of the other estimates.
  */
 public final class RobustRate {
 
     /**
      * An estimate of the allowance.
      *
-     * @param perSecond fetches a second; 0 where nothing has been learned yet
-     * @param members the number of balancers that it stands for
+     * @param perSecond the allowance in fetches per second, or 0 if unknown
+     * @param members the number of balancers behind the estimate
      */
     public record Estimate(double perSecond, int members) {}
 
     private RobustRate() {}
 
-    /** The weighted lower median of all estimates that have learned something, or 0 where none has. */
+    /** Returns the weighted lower median of the known estimates, or 0 if there are none. */
     public static double of(List<Estimate> estimates) {
         List<Estimate> known = new ArrayList<>();
         long totalMembers = 0;
--- a/tier/src/main/java/baymoor/tier/split/Split.java
+++ b/tier/src/main/java/baymoor/tier/split/Split.java
@@ -2,21 +2,25 @@
 
 import java.util.Arrays;
 
-/** The weighted split of DoWSS: ceilings of the weighted parts, and the surplus removed by the lowest random draws. */
+/**
+ * The weighted split of DoWSS: each participant gets the ceiling of its weighted share, and the participants with the lowest
+ * random draws give up the surplus. Stateless; any thread may call it.
+ */
 public final class Split {
 
-    /** Tolerance for quotients that are whole but for rounding. */
+    /** Keeps a quotient that exceeds an integer only by a rounding error from being rounded up. */
     private static final double ROUNDING_TOLERANCE = 1e-9;
 
     private Split() {}
 
     /**
-     * The shares of all participants. Their sum is {@code total}, or less where fewer participants have a weight than the
-     * surplus has units.
+     * Returns the shares of all participants. They add up to {@code total}, or to 0 if {@code total} or the sum of the weights
+     * is not positive.
      *
-     * @param total what is to be divided
-     * @param weights the weight of each participant; 0 takes no part
-     * @param draws a random number for each participant; the lowest ones give up a unit of the surplus, ties by index
+     * @param total the number of units to divide
+     * @param weights the weight of each participant; a participant with weight 0 gets no share
+     * @param draws a random number for each participant; those with the lowest draws give up one unit of the surplus each, and
+     *     ties are broken by index
      */
     public static long[] shares(long total, double[] weights, int[] draws) {
         long[] shares = new long[weights.length];
--- a/tier/src/test/java/baymoor/tier/LayoutTest.java
+++ b/tier/src/test/java/baymoor/tier/LayoutTest.java
@@ -8,7 +8,7 @@
 import com.tngtech.archunit.lang.syntax.ArchRuleDefinition;
 import org.junit.Test;
 
-/** The module is pure: no cycles, nothing but the JDK, no socket, file, thread, clock or randomness without a seed. */
+/** Guards against package cycles, third-party dependencies, I/O, threads, clocks and unseeded randomness in the module. */
 public class LayoutTest {
 
     private static final JavaClasses CLASSES = new ClassFileImporter()
