--- a/tier/src/main/java/baymoor/tier/message/MessageCodec.java
+++ b/tier/src/main/java/baymoor/tier/message/MessageCodec.java
@@ -116,8 +116,8 @@
             totals.fetched(),
             totals.queued(),
             totals.credits(),
-            totals.answers(),
-            totals.latencyMillis(),
+            totals.responses(),
+            totals.totalLatencyMillis(),
             totals.failures()
         };
         for (long count : counts) {
--- a/tier/src/main/java/baymoor/tier/message/PreviousVersion.java
+++ b/tier/src/main/java/baymoor/tier/message/PreviousVersion.java
@@ -30,7 +30,7 @@
     }
 
     /**
-     * Decodes a message. The answers, latency and failures of the totals are 0, since this version counts them from the start
+     * Decodes a message. The responses, latency and failures of the totals are 0, since this version counts them from the start
      * of the sender instead of per epoch.
      *
      * @throws MalformedMessageException if the datagram is too short or too long, or holds a value out of range
--- a/tier/src/main/java/baymoor/tier/message/Totals.java
+++ b/tier/src/main/java/baymoor/tier/message/Totals.java
@@ -16,8 +16,8 @@
  * @param credits the number of unspent credits
  * @param draw a random number that decides who gives up units of a surplus
  * @param rate the estimated allowance in fetches per second, or 0 if unknown
- * @param answers the number of responses from the origin
- * @param latencyMillis the sum of the response latencies in milliseconds
+ * @param responses the number of responses from the origin
+ * @param totalLatencyMillis the sum of the response latencies in milliseconds
  * @param failures the number of fetches that failed or timed out
  */
 public record Totals(
@@ -28,8 +28,8 @@
         long credits,
         int draw,
         double rate,
-        long answers,
-        long latencyMillis,
+        long responses,
+        long totalLatencyMillis,
         long failures) {
 
     /** The totals of no balancers. */
@@ -37,7 +37,8 @@
 
     /** Returns a copy with another draw. */
     public Totals withDraw(int newDraw) {
-        return new Totals(members, fetched, queued, weight, credits, newDraw, rate, answers, latencyMillis, failures);
+        return new Totals(
+                members, fetched, queued, weight, credits, newDraw, rate, responses, totalLatencyMillis, failures);
     }
 
     /** Returns the sums over all parts, with the weighted median of the rates and without a draw. */
@@ -56,8 +57,8 @@
                 sum.credits,
                 0,
                 RobustRate.of(rates),
-                sum.answers,
-                sum.latencyMillis,
+                sum.responses,
+                sum.totalLatencyMillis,
                 sum.failures);
     }
 
@@ -70,8 +71,8 @@
                 credits + other.credits,
                 0,
                 0,
-                answers + other.answers,
-                latencyMillis + other.latencyMillis,
+                responses + other.responses,
+                totalLatencyMillis + other.totalLatencyMillis,
                 failures + other.failures);
     }
 }
