--- a/tier/src/main/java/baymoor/tier/place/PlacesException.java
+++ b/tier/src/main/java/baymoor/tier/place/PlacesException.java
@@ -1,11 +1,11 @@
 package baymoor.tier.place;
 
-/** A file of places that can't be used; the message is one line with file, line and field. */
+/** Thrown when a places file is invalid. The message is a single line with the file, the line and the field. */
 public final class PlacesException extends Exception {
 
     private static final long serialVersionUID = 1L;
 
-    PlacesException(String file, int line, String field, String what) {
-        super(file + ":" + line + ": " + field + " " + what);
+    PlacesException(String file, int line, String field, String problem) {
+        super(file + ":" + line + ": " + field + " " + problem);
     }
 }
