--- a/emulator/src/main/java/baymoor/emulator/world/Agent.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Agent.java
@@ -89,7 +89,7 @@
         source.listed().forEach(e -> now.put(e.name(), e));
         held.values().stream()
                 .filter(e -> !now.containsKey(e.name()))
-                .forEach(e -> changed.add(e.with(Listing.Status.TERMINATED)));
+                .forEach(e -> changed.add(e.withStatus(Listing.Status.TERMINATED)));
         now.values().stream().filter(e -> !e.equals(held.get(e.name()))).forEach(changed::add);
         held.clear();
         held.putAll(now);
--- a/emulator/src/main/java/baymoor/emulator/world/Fills.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Fills.java
@@ -14,80 +14,82 @@
  */
 final class Fills {
 
-    private static final long KEEP_MICROS = 10_000_000;
-    private static final int MOST_STORED = 2;
+    private static final long MISS_RETENTION_MICROS = 10_000_000;
+    private static final int MAX_FILLED_ROUTERS = 2;
 
-    private record Miss(String id, long at, List<Router> routers, boolean[] cold) {}
+    private record Miss(String id, long reportedAt, List<Router> routers, boolean[] cold) {}
 
     private final Time time;
     private final long delayMicros;
     private final long windowMicros;
-    private final Consumer<String> voidAll;
-    private final Map<String, Miss> misses = new HashMap<>();
-    private final ArrayDeque<Miss> order = new ArrayDeque<>();
-    private final ArrayDeque<Long> reads = new ArrayDeque<>();
+    private final Consumer<String> invalidateAll;
+    private final Map<String, Miss> missesById = new HashMap<>();
+    private final ArrayDeque<Miss> missOrder = new ArrayDeque<>();
+    private final ArrayDeque<Long> readTimes = new ArrayDeque<>();
 
     /**
      * @param windowMicros for which reads are remembered
-     * @param voidAll      voids the copies of a key, wherever they are
+     * @param invalidateAll      voids the copies of a key, wherever they are
      */
-    Fills(Time time, long delayMicros, long windowMicros, Consumer<String> voidAll) {
+    Fills(Time time, long delayMicros, long windowMicros, Consumer<String> invalidateAll) {
         this.time = time;
         this.delayMicros = delayMicros;
         this.windowMicros = windowMicros;
-        this.voidAll = voidAll;
+        this.invalidateAll = invalidateAll;
     }
 
     /** A router has told a miss for a request. */
-    void missed(String id, Router router, boolean cold) {
+    void recordMiss(String id, Router router, boolean cold) {
         long now = time.now();
-        while (!order.isEmpty() && now - order.peek().at > KEEP_MICROS) {
-            Miss old = order.poll();
-            misses.remove(old.id, old);
+        while (!missOrder.isEmpty() && now - missOrder.peek().reportedAt > MISS_RETENTION_MICROS) {
+            Miss old = missOrder.poll();
+            missesById.remove(old.id, old);
         }
-        Miss miss = misses.get(id);
+        Miss miss = missesById.get(id);
         if (miss == null) {
             miss = new Miss(id, now, new ArrayList<>(2), new boolean[1]);
-            misses.put(id, miss);
-            order.add(miss);
+            missesById.put(id, miss);
+            missOrder.add(miss);
         }
         miss.routers.add(router);
         miss.cold[0] |= cold;
     }
 
     /** A read has come to a router. */
-    void read() {
-        reads.add(time.now());
-        forgetReads();
+    void recordRead() {
+        readTimes.add(time.now());
+        dropOldReads();
     }
 
-    private void forgetReads() {
+    private void dropOldReads() {
         long from = time.now() - windowMicros;
-        while (!reads.isEmpty() && reads.peek() < from) {
-            reads.poll();
+        while (!readTimes.isEmpty() && readTimes.peek() < from) {
+            readTimes.poll();
         }
     }
 
     /** Reads that came to routers within the window. */
-    int reads() {
-        forgetReads();
-        return reads.size();
+    int recentReads() {
+        dropOldReads();
+        return readTimes.size();
     }
 
     /** Whether this request missed at a router that was cold. */
-    boolean missedCold(String id) {
-        Miss miss = misses.get(id);
+    boolean missedWhileCold(String id) {
+        Miss miss = missesById.get(id);
         return miss != null && miss.cold[0];
     }
 
-    void fetched(String id, String key, long size) {
-        Miss miss = misses.remove(id);
+    void fill(String id, String key, long size) {
+        Miss miss = missesById.remove(id);
         if (miss != null) {
-            miss.routers.stream().limit(MOST_STORED).forEach(r -> time.after(delayMicros, () -> r.store(key, size)));
+            miss.routers.stream()
+                    .limit(MAX_FILLED_ROUTERS)
+                    .forEach(r -> time.after(delayMicros, () -> r.store(key, size)));
         }
     }
 
     void changed(String key) {
-        time.after(delayMicros, () -> voidAll.accept(key));
+        time.after(delayMicros, () -> invalidateAll.accept(key));
     }
 }
--- a/emulator/src/main/java/baymoor/emulator/world/Listing.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Listing.java
@@ -34,8 +34,8 @@
             double weight,
             long sinceMicros) {
 
-        Entry with(Status now) {
-            return new Entry(name, host, zone, type, group, now, weight, sinceMicros);
+        Entry withStatus(Status newStatus) {
+            return new Entry(name, host, zone, type, group, newStatus, weight, sinceMicros);
         }
     }
 
--- a/emulator/src/main/java/baymoor/emulator/world/LoadGauge.java
+++ b/emulator/src/main/java/baymoor/emulator/world/LoadGauge.java
@@ -12,24 +12,24 @@
     private static final long REFRESH_MICROS = 100_000;
 
     private final int slots;
-    private long readAt = Long.MIN_VALUE / 2;
-    private String text = "";
+    private long sampledAt = Long.MIN_VALUE / 2;
+    private String latest = "";
 
     LoadGauge(int slots) {
         this.slots = slots;
     }
 
     /** Names and values as they were read off last. */
-    String read(long now, Station station) {
-        if (now - readAt >= REFRESH_MICROS) {
-            readAt = now;
-            text = String.format(
+    String report(long now, ProcessorSharingServer server) {
+        if (now - sampledAt >= REFRESH_MICROS) {
+            sampledAt = now;
+            latest = String.format(
                     Locale.ROOT,
                     "outstanding=%d,backlog=%d,utilization=%.2f",
-                    station.inWork(),
-                    station.waiting(),
-                    Math.min(1, (double) station.inWork() / slots));
+                    server.runningCount(),
+                    server.waitingCount(),
+                    Math.min(1, (double) server.runningCount() / slots));
         }
-        return text;
+        return latest;
     }
 }
--- a/emulator/src/main/java/baymoor/emulator/world/ObjectCache.java
+++ b/emulator/src/main/java/baymoor/emulator/world/ObjectCache.java
@@ -13,52 +13,53 @@
  */
 final class ObjectCache {
 
-    private record Kept(long bytes, long until) {}
+    private record CachedObject(long bytes, long expiresAt) {}
 
-    private final long most;
-    private final long ttl;
-    private final LinkedHashMap<String, Kept> objects = new LinkedHashMap<>(16, 0.75f, true);
+    private final long capacityBytes;
+    private final long ttlMicros;
+    private final LinkedHashMap<String, CachedObject> objects = new LinkedHashMap<>(16, 0.75f, true);
     private long bytes;
 
-    /** @param ttl microseconds, 0 for as long as there is room */
-    ObjectCache(long most, long ttl) {
-        this.most = most;
-        this.ttl = ttl;
+    /** @param ttlMicros microseconds, 0 for as long as there is room */
+    ObjectCache(long capacityBytes, long ttlMicros) {
+        this.capacityBytes = capacityBytes;
+        this.ttlMicros = ttlMicros;
     }
 
     /** Whether it holds a key, which counts as a use. */
     boolean hit(String key, long now) {
-        Kept kept = objects.get(key);
-        if (kept != null && kept.until < now) {
-            drop(key);
+        CachedObject cached = objects.get(key);
+        if (cached != null && cached.expiresAt < now) {
+            remove(key);
             return false;
         }
-        return kept != null;
+        return cached != null;
     }
 
-    void keep(String key, long size, long now) {
-        if (size > most) {
+    void put(String key, long size, long now) {
+        if (size > capacityBytes) {
             return;
         }
-        Kept before = objects.put(key, new Kept(size, ttl == 0 ? Long.MAX_VALUE : now + ttl));
-        bytes += size - (before == null ? 0 : before.bytes);
-        Iterator<Map.Entry<String, Kept>> oldest = objects.entrySet().iterator();
-        while (bytes > most) {
+        CachedObject previous =
+                objects.put(key, new CachedObject(size, ttlMicros == 0 ? Long.MAX_VALUE : now + ttlMicros));
+        bytes += size - (previous == null ? 0 : previous.bytes);
+        Iterator<Map.Entry<String, CachedObject>> oldest = objects.entrySet().iterator();
+        while (bytes > capacityBytes) {
             bytes -= oldest.next().getValue().bytes;
             oldest.remove();
         }
     }
 
-    void drop(String key) {
-        Kept kept = objects.remove(key);
-        bytes -= kept == null ? 0 : kept.bytes;
+    void remove(String key) {
+        CachedObject cached = objects.remove(key);
+        bytes -= cached == null ? 0 : cached.bytes;
     }
 
     /** Voids each object with a chance. */
-    void drop(double share, UniformRandomProvider chance) {
+    void removeRandom(double share, UniformRandomProvider random) {
         for (String key : List.copyOf(objects.keySet())) {
-            if (Draw.chance(chance, share)) {
-                drop(key);
+            if (Draw.chance(random, share)) {
+                remove(key);
             }
         }
     }
--- a/emulator/src/main/java/baymoor/emulator/world/Origin.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Origin.java
@@ -26,58 +26,58 @@
 public final class Origin {
 
     public static final String NAME = "origin";
-    private static final byte[] NONE = new byte[0];
-    private static final String UNTOUCHED = "X-Unprocessed: 1\r\n";
+    private static final byte[] EMPTY_BODY = new byte[0];
+    private static final String UNPROCESSED_HEADER = "X-Unprocessed: 1\r\n";
 
     private record Arrival(long at, boolean cold) {}
 
     private final Scenario.Origin spec;
     private final Time time;
-    private final UniformRandomProvider chance;
+    private final UniformRandomProvider random;
     private final Catalogue catalogue;
     private final Fills fills;
     private final Judge judge;
     private final Arrivals arrivals;
     private final Tally tally;
-    private final DoubleSupplier coldDue;
-    private final Runnable fell;
-    private final Station station;
+    private final DoubleSupplier coldReadShare;
+    private final Runnable onCrash;
+    private final ProcessorSharingServer server;
     private final Set<Connection> connections = new LinkedHashSet<>();
-    private final ArrayDeque<Arrival> recent = new ArrayDeque<>();
-    private final Map<String, Long> keyed = new HashMap<>();
-    private final ArrayDeque<String> keyedOrder = new ArrayDeque<>();
+    private final ArrayDeque<Arrival> recentArrivals = new ArrayDeque<>();
+    private final Map<String, Long> idempotencyExpiry = new HashMap<>();
+    private final ArrayDeque<String> idempotencyOrder = new ArrayDeque<>();
     private int coldArrivals;
-    private int falls;
-    private int life;
+    private int crashCount;
+    private int incarnation;
     private boolean up = true;
-    private long receipts;
+    private long receiptCount;
 
     /**
-     * @param coldDue share of all reads that is due to routers that are cold, by weights cut by the stated warm-up
-     * @param fell    hears that it stops; whoever listens for it closes, and starts it again later
+     * @param coldReadShare share of all reads that is due to routers that are cold, by weights cut by the stated warm-up
+     * @param onCrash    hears that it stops; whoever listens for it closes, and starts it again later
      */
     Origin(
             Scenario scenario,
             Time time,
-            UniformRandomProvider chance,
+            UniformRandomProvider random,
             Catalogue catalogue,
             Fills fills,
             Judge judge,
             Arrivals arrivals,
             Tally tally,
-            DoubleSupplier coldDue,
-            Runnable fell) {
+            DoubleSupplier coldReadShare,
+            Runnable onCrash) {
         spec = scenario.origin();
         this.time = time;
-        this.chance = chance;
+        this.random = random;
         this.catalogue = catalogue;
         this.fills = fills;
         this.judge = judge;
         this.arrivals = arrivals;
         this.tally = tally;
-        this.coldDue = coldDue;
-        this.fell = fell;
-        station = new Station(time, spec.slots(), spec.slots(), spec.room(), 1, 0, 1);
+        this.coldReadShare = coldReadShare;
+        this.onCrash = onCrash;
+        server = new ProcessorSharingServer(time, spec.slots(), spec.slots(), spec.room(), 1, 0, 1);
     }
 
     boolean up() {
@@ -85,19 +85,19 @@
     }
 
     /** It serves so many times slower from now on. */
-    public void slow(double times) {
-        station.factor(1 / times);
+    public void slow(double factor) {
+        server.setSpeedFactor(1 / factor);
     }
 
     /** It is gone, with all that it was doing; what it had carried out stays carried out. */
     public void stop() {
         up = false;
-        life++;
-        station.clear();
-        recent.clear();
+        incarnation++;
+        server.clear();
+        recentArrivals.clear();
         coldArrivals = 0;
         for (Connection c : List.copyOf(connections)) {
-            c.over = true;
+            c.closed = true;
             c.link.close();
         }
         connections.clear();
@@ -117,32 +117,34 @@
         return c;
     }
 
-    private void press(boolean cold) {
+    private void recordArrival(boolean cold) {
         long now = time.now();
-        recent.add(new Arrival(now, cold));
+        recentArrivals.add(new Arrival(now, cold));
         coldArrivals += cold ? 1 : 0;
-        while (now - recent.peek().at > spec.fallMicros()) {
-            coldArrivals -= recent.poll().cold ? 1 : 0;
+        while (now - recentArrivals.peek().at > spec.fallMicros()) {
+            coldArrivals -= recentArrivals.poll().cold ? 1 : 0;
         }
-        double most = spec.fallMultiple() * spec.capacity() * spec.fallMicros() / 1e6;
-        if (recent.size() > most && falls < spec.mostFalls()) {
-            falls++;
-            double due = fills.reads() * coldDue.getAsDouble();
-            judge.originFell((double) coldArrivals / recent.size(), due <= 0 ? Double.MAX_VALUE : coldArrivals / due);
+        double limit = spec.fallMultiple() * spec.capacity() * spec.fallMicros() / 1e6;
+        if (recentArrivals.size() > limit && crashCount < spec.mostFalls()) {
+            crashCount++;
+            double expectedColdReads = fills.recentReads() * coldReadShare.getAsDouble();
+            judge.originFell(
+                    (double) coldArrivals / recentArrivals.size(),
+                    expectedColdReads <= 0 ? Double.MAX_VALUE : coldArrivals / expectedColdReads);
             stop();
-            fell.run();
+            onCrash.run();
         }
     }
 
     private final class Connection extends Conversation {
         private final Link link;
         private final int balancer;
-        private final long number = arrivals.connection();
+        private final long connectionId = arrivals.connection();
         private final HttpRequests reader = new HttpRequests();
-        private final int born = life;
-        private final ArrayDeque<HttpRequests.Request> row = new ArrayDeque<>();
+        private final int ownIncarnation = incarnation;
+        private final ArrayDeque<HttpRequests.Request> pendingRequests = new ArrayDeque<>();
         private boolean busy;
-        private boolean over;
+        private boolean closed;
 
         Connection(Link link, int balancer) {
             this.link = link;
@@ -151,33 +153,33 @@
 
         @Override
         public void received(byte[] bytes) {
-            if (over || born != life) {
+            if (closed || ownIncarnation != incarnation) {
                 return;
             }
             reader.feed(bytes);
             try {
                 for (HttpRequests.Request r = reader.next(); r != null; r = reader.next()) {
-                    row.add(r);
+                    pendingRequests.add(r);
                 }
                 serve();
             } catch (HttpException e) {
-                answer(400, "Bad Request", "Connection: close\r\n", NONE);
-                over = true;
+                answer(400, "Bad Request", "Connection: close\r\n", EMPTY_BODY);
+                closed = true;
                 link.finish(true);
             }
         }
 
         private void serve() {
-            while (!busy && !over && !row.isEmpty()) {
+            while (!busy && !closed && !pendingRequests.isEmpty()) {
                 busy = true;
-                request(row.poll());
+                request(pendingRequests.poll());
             }
         }
 
-        private void answer(int status, String reason, String extra, byte[] body) {
+        private void answer(int status, String reason, String extraHeaders, byte[] body) {
             busy = false;
-            if (!over && born == life) {
-                link.write(HttpRequests.response(status, reason, extra, body));
+            if (!closed && ownIncarnation == incarnation) {
+                link.write(HttpRequests.response(status, reason, extraHeaders, body));
             }
         }
 
@@ -187,94 +189,95 @@
             if (r.method().equals("GET")
                     && (r.target().equals("/healthz") || r.target().equals("/load"))) {
                 tally.probed();
-                answer(200, "OK", "", NONE);
+                answer(200, "OK", "", EMPTY_BODY);
                 return;
             }
-            RequestClass kind = catalogue.kind(String.valueOf(Facts.get(facts, "c")));
+            RequestClass requestClass = catalogue.requestClass(String.valueOf(Facts.get(facts, "c")));
             boolean read = r.method().equals("GET");
-            if (id == null || kind == null || !read && !r.method().equals("PUT")) {
-                answer(400, "Bad Request", "", NONE);
+            if (id == null || requestClass == null || !read && !r.method().equals("PUT")) {
+                answer(400, "Bad Request", "", EMPTY_BODY);
                 return;
             }
-            arrivals.came(id, balancer, NAME, number);
+            arrivals.came(id, balancer, NAME, connectionId);
             if (read) {
                 tally.fetched();
             }
-            press(read && fills.missedCold(id));
-            if (born != life) {
+            recordArrival(read && fills.missedWhileCold(id));
+            if (ownIncarnation != incarnation) {
                 return; // that was too much
             }
-            if (!station.offer(new Work(this, r.target().substring(1), id, facts, kind, read))) {
+            if (!server.offer(new RequestJob(this, r.target().substring(1), id, facts, requestClass, read))) {
                 tally.turnedAway();
                 judge.hostAnswered(id, NAME, true);
-                answer(503, "Service Unavailable", UNTOUCHED, NONE);
+                answer(503, "Service Unavailable", UNPROCESSED_HEADER, EMPTY_BODY);
                 serve();
             }
         }
 
         @Override
         public void closed() {
-            over = true;
+            closed = true;
             connections.remove(this);
-            arrivals.closed(number);
+            arrivals.closed(connectionId);
         }
     }
 
-    private final class Work implements Station.Job {
-        private final Connection from;
+    private final class RequestJob implements ProcessorSharingServer.Job {
+        private final Connection connection;
         private final String key;
         private final String id;
         private final String facts;
-        private final RequestClass kind;
+        private final RequestClass requestClass;
         private final boolean read;
 
-        Work(Connection from, String key, String id, String facts, RequestClass kind, boolean read) {
-            this.from = from;
+        RequestJob(
+                Connection connection, String key, String id, String facts, RequestClass requestClass, boolean read) {
+            this.connection = connection;
             this.key = key;
             this.id = id;
             this.facts = facts;
-            this.kind = kind;
+            this.requestClass = requestClass;
             this.read = read;
         }
 
         @Override
         public double begin() {
-            return spec.slots() / spec.capacity() * 1e6 * Draw.logNormal(chance, spec.sigma());
+            return spec.slots() / spec.capacity() * 1e6 * Draw.logNormal(random, spec.sigma());
         }
 
         @Override
-        public void done() {
-            if (from.born != life) {
+        public void completed() {
+            if (connection.ownIncarnation != incarnation) {
                 return;
             }
-            if (from.over) {
+            if (connection.closed) {
                 tally.wasted();
             }
             if (read) {
-                fetch();
+                completeRead();
             } else {
-                write();
+                completeWrite();
             }
-            from.serve();
+            connection.serve();
         }
 
-        private void fetch() {
+        private void completeRead() {
             judge.ran(id, NAME);
-            if (Draw.chance(chance, spec.errorRate())) {
-                fail();
+            if (Draw.chance(random, spec.errorRate())) {
+                answerError();
                 return;
             }
-            long size = catalogue.profile(number()).size();
+            long size = catalogue.profile(keyNumber()).size();
             byte[] value = Values.value(key, id, size);
             judge.made(id, value);
-            if (!from.over) {
-                fills.fetched(id, key, size);
+            if (!connection.closed) {
+                fills.fill(id, key, size);
                 judge.hostAnswered(id, NAME, false);
             }
-            from.answer(200, "OK", "", value);
+            connection.answer(200, "OK", "", value);
         }
 
-        private long number() {
+        private long keyNumber() {
             try {
                 return Long.parseUnsignedLong(key, 16);
             } catch (NumberFormatException e) {
@@ -282,40 +285,40 @@
             }
         }
 
-        private void write() {
-            String idempotency = Facts.get(facts, "k");
-            if (idempotency != null && keyed.getOrDefault(idempotency, 0L) > time.now()) {
+        private void completeWrite() {
+            String idempotencyKey = Facts.get(facts, "k");
+            if (idempotencyKey != null && idempotencyExpiry.getOrDefault(idempotencyKey, 0L) > time.now()) {
                 tally.repeatDropped();
             } else {
                 judge.ran(id, NAME);
                 tally.wrote();
                 fills.changed(key);
-                receipts++;
-                if (idempotency != null) {
-                    remember(idempotency);
+                receiptCount++;
+                if (idempotencyKey != null) {
+                    rememberIdempotencyKey(idempotencyKey);
                 }
             }
-            if (Draw.chance(chance, spec.errorRate())) {
-                fail();
+            if (Draw.chance(random, spec.errorRate())) {
+                answerError();
                 return;
             }
-            byte[] receipt = Values.receipt(key, id, receipts);
+            byte[] receipt = Values.receipt(key, id, receiptCount);
             judge.made(id, receipt);
             judge.hostAnswered(id, NAME, false);
-            from.answer(200, "OK", "", receipt);
+            connection.answer(200, "OK", "", receipt);
         }
 
-        private void remember(String idempotency) {
-            keyed.put(idempotency, time.now() + kind.windowMicros());
-            keyedOrder.add(idempotency);
-            while (keyed.getOrDefault(keyedOrder.peek(), 0L) <= time.now()) {
-                keyed.remove(keyedOrder.poll());
+        private void rememberIdempotencyKey(String idempotencyKey) {
+            idempotencyExpiry.put(idempotencyKey, time.now() + requestClass.windowMicros());
+            idempotencyOrder.add(idempotencyKey);
+            while (idempotencyExpiry.getOrDefault(idempotencyOrder.peek(), 0L) <= time.now()) {
+                idempotencyExpiry.remove(idempotencyOrder.poll());
             }
         }
 
-        private void fail() {
+        private void answerError() {
             judge.hostAnswered(id, NAME, false);
-            from.answer(500, "Internal Server Error", "", NONE);
+            connection.answer(500, "Internal Server Error", "", EMPTY_BODY);
         }
     }
 }
--- a/emulator/src/main/java/baymoor/emulator/world/Station.java
+++ b/emulator/src/main/java/baymoor/emulator/world/ProcessorSharingServer.java
@@ -11,70 +11,77 @@
  * <p>All jobs in work get on at the same pace, so one sum of attained work serves for all: a job is done when the sum
  * has grown by its work. An arrival or a departure costs the logarithm of the jobs in work, whatever their number.
  */
-final class Station {
+final class ProcessorSharingServer {
 
     /** A piece of work. */
     interface Job {
         /** It comes out of the waiting room into a slot; gives its work, or less than 0 to drop it. */
         double begin();
 
-        void done();
+        void completed();
     }
 
-    private static final double CLOSE_ENOUGH = 1e-3;
+    private static final double WORK_TOLERANCE = 1e-3;
 
-    private record Running(double target, long number, Job job) implements Comparable<Running> {
+    private record Running(double targetWork, long sequence, Job job) implements Comparable<Running> {
         @Override
         public int compareTo(Running other) {
-            int byTarget = Double.compare(target, other.target);
-            return byTarget != 0 ? byTarget : Long.compare(number, other.number);
+            int byTarget = Double.compare(targetWork, other.targetWork);
+            return byTarget != 0 ? byTarget : Long.compare(sequence, other.sequence);
         }
     }
 
     private final Time time;
     private final int cores;
     private final int slots;
-    private final int room;
+    private final int queueLimit;
     private final double speed;
-    private final double thrash;
-    private final double crowd;
+    private final double overcommitPenalty;
+    private final double overcommitThreshold;
     private final PriorityQueue<Running> running = new PriorityQueue<>();
     private final ArrayDeque<Job> waiting = new ArrayDeque<>();
-    private double factor = 1;
-    private double attained;
-    private long advancedTo;
-    private long numbers;
-    private double done;
+    private double speedFactor = 1;
+    private double attainedWork;
+    private long advancedAt;
+    private long nextSequence;
+    private double completedWork;
     private Time.Timer timer;
 
-    Station(Time time, int cores, int slots, int room, double speed, double thrash, double crowd) {
+    ProcessorSharingServer(
+            Time time,
+            int cores,
+            int slots,
+            int queueLimit,
+            double speed,
+            double overcommitPenalty,
+            double overcommitThreshold) {
         this.time = time;
         this.cores = cores;
         this.slots = slots;
-        this.room = room;
+        this.queueLimit = queueLimit;
         this.speed = speed;
-        this.thrash = thrash;
-        this.crowd = crowd;
-        advancedTo = time.now();
+        this.overcommitPenalty = overcommitPenalty;
+        this.overcommitThreshold = overcommitThreshold;
+        advancedAt = time.now();
     }
 
-    int inWork() {
+    int runningCount() {
         return running.size();
     }
 
-    int waiting() {
+    int waitingCount() {
         return waiting.size();
     }
 
     /** Work done so far. */
-    double done() {
+    double completedWork() {
         advance();
-        return done;
+        return completedWork;
     }
 
     /** What it can do at its best, work a microsecond, as it is now. */
     double capacity() {
-        return cores * speed * factor;
+        return cores * speed * speedFactor;
     }
 
     /** Takes a job, or turns it away. */
@@ -82,10 +89,10 @@
         if (running.size() < slots) {
             advance();
             start(job);
-            schedule();
+            scheduleCompletion();
             return true;
         }
-        if (waiting.size() >= room) {
+        if (waiting.size() >= queueLimit) {
             return false;
         }
         waiting.addLast(job);
@@ -93,11 +100,11 @@
     }
 
     /** All its cores run at this share of their speed from now on; 0 stops them. */
-    void factor(double share) {
-        if (share != factor) {
+    void setSpeedFactor(double share) {
+        if (share != speedFactor) {
             advance();
-            factor = share;
-            schedule();
+            speedFactor = share;
+            scheduleCompletion();
         }
     }
 
@@ -106,59 +113,59 @@
         advance();
         running.clear();
         waiting.clear();
-        schedule();
+        scheduleCompletion();
     }
 
     private void start(Job job) {
         double work = job.begin();
         if (work >= 0) {
-            running.add(new Running(attained + work, numbers++, job));
+            running.add(new Running(attainedWork + work, nextSequence++, job));
         }
     }
 
-    private double pace() {
-        int n = running.size();
-        if (n == 0) {
+    private double ratePerJob() {
+        int count = running.size();
+        if (count == 0) {
             return 0;
         }
-        double crowded = Math.max(0, (double) n / cores - crowd);
-        return speed * factor * Math.min(1, (double) cores / n) / (1 + thrash * crowded);
+        double excess = Math.max(0, (double) count / cores - overcommitThreshold);
+        return speed * speedFactor * Math.min(1, (double) cores / count) / (1 + overcommitPenalty * excess);
     }
 
     private void advance() {
         long now = time.now();
-        if (now > advancedTo) {
-            double step = pace() * (now - advancedTo);
-            attained += step;
-            done += step * running.size();
-            advancedTo = now;
+        if (now > advancedAt) {
+            double step = ratePerJob() * (now - advancedAt);
+            attainedWork += step;
+            completedWork += step * running.size();
+            advancedAt = now;
         }
     }
 
-    private void schedule() {
+    private void scheduleCompletion() {
         if (timer != null) {
             timer.cancel();
             timer = null;
         }
         Running next = running.peek();
-        double pace = pace();
-        if (next != null && pace > 0) {
-            long wait = (long) Math.ceil(Math.max(0, next.target - attained) / pace);
-            timer = time.after(Math.max(1, wait), this::due);
+        double ratePerJob = ratePerJob();
+        if (next != null && ratePerJob > 0) {
+            long delayMicros = (long) Math.ceil(Math.max(0, next.targetWork - attainedWork) / ratePerJob);
+            timer = time.after(Math.max(1, delayMicros), this::completeDueJobs);
         }
     }
 
-    private void due() {
+    private void completeDueJobs() {
         timer = null;
         advance();
         ArrayDeque<Job> finished = new ArrayDeque<>();
-        while (!running.isEmpty() && running.peek().target <= attained + CLOSE_ENOUGH) {
+        while (!running.isEmpty() && running.peek().targetWork <= attainedWork + WORK_TOLERANCE) {
             finished.add(running.poll().job);
         }
         while (running.size() < slots && !waiting.isEmpty()) {
             start(waiting.pollFirst());
         }
-        schedule();
-        finished.forEach(Job::done);
+        scheduleCompletion();
+        finished.forEach(Job::completed);
     }
 }
--- a/emulator/src/main/java/baymoor/emulator/world/Router.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Router.java
@@ -34,17 +34,17 @@
  */
 public final class Router {
 
-    private static final long RETUNE_MICROS = 100_000;
-    private static final long SWEEP_MICROS = 1_000_000;
-    private static final long LEASE_MICROS = 500_000;
-    private static final int MOST_FETCHING = 10_000;
-    private static final int NOISE = 48;
+    private static final long SPEED_UPDATE_MICROS = 100_000;
+    private static final long IDLE_CHECK_MICROS = 1_000_000;
+    private static final long FETCH_LEASE_MICROS = 500_000;
+    private static final int MAX_FETCH_LEASES = 10_000;
+    private static final int GARBAGE_BYTES = 48;
     /** Of the budget before a cold router falls over: chance alone must not do it. */
-    private static final double CHANCE_SLACK = 1.1;
+    private static final double BUDGET_MARGIN = 1.1;
 
     private static final byte[] BUSY = RespWriter.error("BUSY");
     private static final byte[] FAILED = RespWriter.error("ERR failed");
-    private static final byte[] NOTHING = RespWriter.ascii("$-1\r\n");
+    private static final byte[] NULL_BULK = RespWriter.ascii("$-1\r\n");
 
     /** What a router is at present. */
     public enum State {
@@ -53,69 +53,69 @@
         DOWN
     }
 
-    private record Pressure(long at, double work, boolean told) {}
+    private record ColdWork(long at, double work, boolean startKnown) {}
 
     private final String name;
     private final int zone;
     private final RouterKind kind;
     private final Scenario.Figures figures;
     private final Time time;
-    private final UniformRandomProvider chance;
+    private final UniformRandomProvider random;
     private final Catalogue catalogue;
     private final Fills fills;
     private final Judge judge;
     private final Arrivals arrivals;
     private final Tally tally;
-    private final Consumer<Router> fell;
+    private final Consumer<Router> onCrash;
     private final double speed;
-    private final Station station;
+    private final ProcessorSharingServer server;
     private final ObjectCache cache;
     private final LoadGauge gauge;
-    private final Map<String, Long> fetching = new LinkedHashMap<>();
+    private final Map<String, Long> fetchLeases = new LinkedHashMap<>();
     private final Set<Connection> connections = new LinkedHashSet<>();
-    private final ArrayDeque<Pressure> pressure = new ArrayDeque<>();
+    private final ArrayDeque<ColdWork> recentColdWork = new ArrayDeque<>();
     private State state = State.DOWN;
-    private long since;
-    private long coldUntil;
-    private long coldFor;
-    private double doneAtStart;
-    private double pressed;
-    private double pressedTold;
-    private double slowness = 1;
+    private long startedAt;
+    private long warmUpEndsAt;
+    private long warmUpMicros;
+    private double workDoneAtStart;
+    private double coldWorkSum;
+    private double startKnownWorkSum;
+    private double slowdown = 1;
     private boolean paused;
-    private int hung;
-    private int life;
-    private Spoil spoil;
-    private double spoilShare;
+    private int hangCount;
+    private int incarnation;
+    private Spoil answerFault;
+    private double answerFaultShare;
 
-    /** @param fell hears that it fell over under too much work while cold */
+    /** @param onCrash hears that it fell over under too much work while cold */
     Router(
             String name,
             int zone,
             RouterKind kind,
             Scenario.Figures figures,
             Time time,
-            UniformRandomProvider chance,
+            UniformRandomProvider random,
             Catalogue catalogue,
             Fills fills,
             Judge judge,
             Arrivals arrivals,
             Tally tally,
-            Consumer<Router> fell) {
+            Consumer<Router> onCrash) {
         this.arrivals = arrivals;
         this.name = name;
         this.zone = zone;
         this.kind = kind;
         this.figures = figures;
         this.time = time;
-        this.chance = chance;
+        this.random = random;
         this.catalogue = catalogue;
         this.fills = fills;
         this.judge = judge;
         this.tally = tally;
-        this.fell = fell;
-        speed = kind.speed() * Math.max(0.2, 1 + kind.speedSpread() * Draw.normal(chance));
-        station = new Station(
+        this.onCrash = onCrash;
+        speed = kind.speed() * Math.max(0.2, 1 + kind.speedSpread() * Draw.normal(random));
+        server = new ProcessorSharingServer(
                 time,
                 kind.cores(),
                 kind.slots() * kind.cores(),
@@ -148,12 +148,12 @@
     }
 
     /** When it last started, 0 for long ago. */
-    public long since() {
-        return since;
+    public long startedAt() {
+        return startedAt;
     }
 
     /** Its size as it is registered: what its cores can do. */
-    public double size() {
+    public double ratedCapacity() {
         return kind.cores() * kind.speed();
     }
 
@@ -162,43 +162,43 @@
         return kind.cores() * speed;
     }
 
-    int inWork() {
-        return station.inWork();
+    int runningCount() {
+        return server.runningCount();
     }
 
-    int waiting() {
-        return station.waiting();
+    int waitingCount() {
+        return server.waitingCount();
     }
 
-    /** Its process is up. {@code sinceMicros} 0: it has run for long and is warm; else it starts cold and empty. */
-    public void start(long sinceMicros) {
-        life++;
+    /** Its process is up. {@code startedAtMicros} 0: it has run for long and is warm; else it starts cold and empty. */
+    public void start(long startedAtMicros) {
+        incarnation++;
         state = State.UP;
-        since = sinceMicros;
-        if (sinceMicros > 0) {
+        startedAt = startedAtMicros;
+        if (startedAtMicros > 0) {
             cache.clear();
-            coldFor = Draw.within(chance, kind.coldMicros());
-            coldUntil = time.now() + coldFor;
-            doneAtStart = station.done();
+            warmUpMicros = Draw.within(random, kind.coldMicros());
+            warmUpEndsAt = time.now() + warmUpMicros;
+            workDoneAtStart = server.completedWork();
         }
-        retune(life);
-        pauseLater(life);
-        sweep(life);
+        updateSpeedWhileWarming(incarnation);
+        schedulePause(incarnation);
+        scheduleIdleCheck(incarnation);
     }
 
     /** Its process is gone, with all that it held. Whoever listens for it stops. */
     public void stop() {
-        life++;
+        incarnation++;
         state = State.DOWN;
-        coldUntil = 0;
-        since = 0;
+        warmUpEndsAt = 0;
+        startedAt = 0;
         paused = false;
-        station.clear();
+        server.clear();
         cache.clear();
-        fetching.clear();
-        pressure.clear();
-        pressed = 0;
-        pressedTold = 0;
+        fetchLeases.clear();
+        recentColdWork.clear();
+        coldWorkSum = 0;
+        startKnownWorkSum = 0;
         for (Connection c : List.copyOf(connections)) {
             c.link.close();
         }
@@ -216,105 +216,105 @@
     }
 
     /** From now on its work takes so many times as long; 1 for its usual speed. */
-    public void slow(double times) {
-        slowness = times;
-        tune();
+    public void setSlowdown(double factor) {
+        slowdown = factor;
+        updateSpeed();
     }
 
     /** It takes connections and requests and does nothing, or goes on. */
     public void hang(boolean on) {
-        hung += on ? 1 : -1;
-        tune();
+        hangCount += on ? 1 : -1;
+        updateSpeed();
     }
 
     /** From now on so large a share of its answers is spoilt; null for none. */
-    public void spoil(Spoil how, double share) {
-        spoil = how;
-        spoilShare = share;
+    public void injectAnswerFault(Spoil fault, double share) {
+        answerFault = fault;
+        answerFaultShare = share;
     }
 
     void pause(long micros) {
-        int born = life;
+        int ownIncarnation = incarnation;
         paused = true;
-        tune();
+        updateSpeed();
         time.after(micros, () -> {
-            if (born == life) {
+            if (ownIncarnation == incarnation) {
                 paused = false;
-                tune();
+                updateSpeed();
             }
         });
     }
 
-    private void pauseLater(int born) {
+    private void schedulePause(int ownIncarnation) {
         if (kind.pause().most() == 0) {
             return;
         }
-        time.after(Draw.within(chance, kind.pauseEvery()), () -> {
-            if (born == life) {
-                pause(Draw.within(chance, kind.pause()));
-                pauseLater(born);
+        time.after(Draw.within(random, kind.pauseEvery()), () -> {
+            if (ownIncarnation == incarnation) {
+                pause(Draw.within(random, kind.pause()));
+                schedulePause(ownIncarnation);
             }
         });
     }
 
     /** The share of its capacity that it has at present. */
-    public double warmth() {
-        if (coldUntil <= time.now() && !kind.warmsByWork() || coldFor == 0) {
+    public double warmUpFactor() {
+        if (warmUpEndsAt <= time.now() && !kind.warmsByWork() || warmUpMicros == 0) {
             return 1;
         }
-        double part = 1 - (double) (coldUntil - time.now()) / coldFor;
+        double part = 1 - (double) (warmUpEndsAt - time.now()) / warmUpMicros;
         if (kind.warmsByWork()) {
-            double needed = capacity() * coldFor / 2;
-            part = Math.max(part, (station.done() - doneAtStart) / needed);
+            double needed = capacity() * warmUpMicros / 2;
+            part = Math.max(part, (server.completedWork() - workDoneAtStart) / needed);
         }
         return Math.min(1, kind.coldShare() + (1 - kind.coldShare()) * Math.max(0, part));
     }
 
     /** Whether it has started lately and does not have its full capacity yet. */
     public boolean cold() {
-        return state != State.DOWN && since > 0 && warmth() < 1;
+        return state != State.DOWN && startedAt > 0 && warmUpFactor() < 1;
     }
 
-    private void retune(int born) {
-        if (born == life) {
-            tune();
-            if (warmth() < 1) {
-                time.after(RETUNE_MICROS, () -> retune(born));
+    private void updateSpeedWhileWarming(int ownIncarnation) {
+        if (ownIncarnation == incarnation) {
+            updateSpeed();
+            if (warmUpFactor() < 1) {
+                time.after(SPEED_UPDATE_MICROS, () -> updateSpeedWhileWarming(ownIncarnation));
             }
         }
     }
 
-    private void tune() {
-        station.factor(paused || hung > 0 ? 0 : warmth() / slowness);
+    private void updateSpeed() {
+        server.setSpeedFactor(paused || hangCount > 0 ? 0 : warmUpFactor() / slowdown);
     }
 
     /** An object that was fetched for it. */
     void store(String key, long size) {
         if (state != State.DOWN) {
-            fetching.remove(key);
-            cache.keep(key, size, time.now());
+            fetchLeases.remove(key);
+            cache.put(key, size, time.now());
         }
     }
 
-    void voided(String key) {
-        cache.drop(key);
+    void invalidate(String key) {
+        cache.remove(key);
     }
 
     /** So large a share of the kept copies goes void. */
     void flush(double share) {
-        cache.drop(share, chance);
+        cache.removeRandom(share, random);
     }
 
-    private void sweep(int born) {
-        time.after(SWEEP_MICROS, () -> {
-            if (born == life) {
+    private void scheduleIdleCheck(int ownIncarnation) {
+        time.after(IDLE_CHECK_MICROS, () -> {
+            if (ownIncarnation == incarnation) {
                 for (Connection c : List.copyOf(connections)) {
-                    if (c.row.isEmpty() && time.now() - c.used > kind.idleMicros()) {
+                    if (c.pendingAnswers.isEmpty() && time.now() - c.lastUsedAt > kind.idleMicros()) {
                         c.link.close();
                         connections.remove(c);
                     }
                 }
-                sweep(born);
+                scheduleIdleCheck(ownIncarnation);
             }
         });
     }
@@ -330,35 +330,35 @@
     }
 
     /** Work reached it while cold. Beyond its budget it falls over, and stays down. */
-    private void press(int balancer, double work) {
+    private void recordColdWork(int balancer, double work) {
         if (!cold()) {
             return;
         }
         long now = time.now();
-        boolean told = judge.knowsStart(balancer, name, since);
-        pressure.add(new Pressure(now, work, told));
-        pressed += work;
-        pressedTold += told ? work : 0;
-        while (now - pressure.peek().at > figures.tipMicros()) {
-            Pressure old = pressure.poll();
-            pressed -= old.work;
-            pressedTold -= old.told ? old.work : 0;
+        boolean startKnown = judge.knowsStart(balancer, name, startedAt);
+        recentColdWork.add(new ColdWork(now, work, startKnown));
+        coldWorkSum += work;
+        startKnownWorkSum += startKnown ? work : 0;
+        while (now - recentColdWork.peek().at > figures.tipMicros()) {
+            ColdWork old = recentColdWork.poll();
+            coldWorkSum -= old.work;
+            startKnownWorkSum -= old.startKnown ? old.work : 0;
         }
-        double budget = figures.tipMultiple() * capacity() * warmth() * figures.tipMicros() * CHANCE_SLACK;
-        if (pressed > budget) {
-            judge.tipped(name, pressedTold / pressed);
+        double budget = figures.tipMultiple() * capacity() * warmUpFactor() * figures.tipMicros() * BUDGET_MARGIN;
+        if (coldWorkSum > budget) {
+            judge.tipped(name, startKnownWorkSum / coldWorkSum);
             stop();
-            fell.accept(this);
+            onCrash.accept(this);
         }
     }
 
     /** An answer that is due on a connection, in the order of its requests. */
-    private static final class Due {
+    private static final class PendingAnswer {
         final String id;
         byte[] answer;
-        boolean unrun;
+        boolean notRun;
 
-        Due(String id) {
+        PendingAnswer(String id) {
             this.id = id;
         }
     }
@@ -367,12 +367,12 @@
         private final Link link;
         private final int balancer;
         private final RespReader reader = RespReader.ofCommands();
-        private final Deque<Due> row = new ArrayDeque<>();
-        private final int born = life;
-        private final long number = arrivals.connection();
-        private boolean fresh = true;
-        private boolean over;
-        private long used = time.now();
+        private final Deque<PendingAnswer> pendingAnswers = new ArrayDeque<>();
+        private final int ownIncarnation = incarnation;
+        private final long connectionId = arrivals.connection();
+        private boolean firstRequest = true;
+        private boolean closed;
+        private long lastUsedAt = time.now();
 
         Connection(Link link, int balancer) {
             this.link = link;
@@ -381,14 +381,16 @@
 
         @Override
         public void received(byte[] bytes) {
-            if (over || born != life) {
+            if (closed || ownIncarnation != incarnation) {
                 return;
             }
-            used = time.now();
+            lastUsedAt = time.now();
             reader.feed(bytes);
             try {
-                for (Resp command = reader.next(); command != null && born == life; command = reader.next()) {
-                    take(((Resp.Many) command)
+                for (Resp command = reader.next();
+                        command != null && ownIncarnation == incarnation;
+                        command = reader.next()) {
+                    handleCommand(((Resp.Many) command)
                             .items().stream().map(w -> ((Resp.Bulk) w).bytes()).toList());
                 }
             } catch (RespException e) {
@@ -397,112 +399,115 @@
             }
         }
 
-        private void take(List<byte[]> words) {
-            String command = text(words.get(0));
-            boolean read = command.equals("OBJ.GET") && words.size() == 4;
-            if (read || command.equals("OBJ.SET") && words.size() == 5) {
-                request(text(words.get(1)), text(words.get(2)), text(words.get(3)), read);
+        private void handleCommand(List<byte[]> arguments) {
+            String command = ascii(arguments.get(0));
+            boolean read = command.equals("OBJ.GET") && arguments.size() == 4;
+            if (read || command.equals("OBJ.SET") && arguments.size() == 5) {
+                request(ascii(arguments.get(1)), ascii(arguments.get(2)), ascii(arguments.get(3)), read);
                 return;
             }
-            Due due = new Due(null);
-            row.add(due);
+            PendingAnswer pendingAnswer = new PendingAnswer(null);
+            pendingAnswers.add(pendingAnswer);
             switch (command) {
                 case "PING" -> {
                     tally.probed();
-                    answer(due, RespWriter.simple("PONG"));
+                    answer(pendingAnswer, RespWriter.simple("PONG"));
                 }
-                case "CLIENT", "SELECT" -> answer(due, RespWriter.simple("OK"));
+                case "CLIENT", "SELECT" -> answer(pendingAnswer, RespWriter.simple("OK"));
                 case "INFO" -> {
-                    boolean told = figures.reports() != Scenario.Reports.OFF;
+                    boolean reportsEnabled = figures.reports() != Scenario.Reports.OFF;
                     tally.probed();
                     answer(
-                            due,
-                            told
-                                    ? RespWriter.bulk(RespWriter.ascii(gauge.read(time.now(), station)))
+                            pendingAnswer,
+                            reportsEnabled
+                                    ? RespWriter.bulk(RespWriter.ascii(gauge.report(time.now(), server)))
                                     : RespWriter.error("NOPERM"));
                 }
-                case "OBJ.GET", "OBJ.SET" -> answer(due, RespWriter.error("SYNTAX"));
-                default -> answer(due, RespWriter.error("ERR unknown command"));
+                case "OBJ.GET", "OBJ.SET" -> answer(pendingAnswer, RespWriter.error("SYNTAX"));
+                default -> answer(pendingAnswer, RespWriter.error("ERR unknown command"));
             }
         }
 
-        private static String text(byte[] word) {
-            return new String(word, StandardCharsets.US_ASCII);
+        private static String ascii(byte[] argument) {
+            return new String(argument, StandardCharsets.US_ASCII);
         }
 
         private void request(String key, String id, String facts, boolean read) {
-            arrivals.came(id, balancer, name, number);
-            Due due = new Due(id);
-            row.add(due);
-            RequestClass requestClass = catalogue.kind(String.valueOf(Facts.get(facts, "c")));
-            long wait = Facts.number(facts, "d", 0) * 1000;
-            if (requestClass == null || wait <= 0) {
-                answer(due, RespWriter.error("SYNTAX"));
+            arrivals.came(id, balancer, name, connectionId);
+            PendingAnswer pendingAnswer = new PendingAnswer(id);
+            pendingAnswers.add(pendingAnswer);
+            RequestClass requestClass = catalogue.requestClass(String.valueOf(Facts.get(facts, "c")));
+            long timeoutMicros = Facts.number(facts, "d", 0) * 1000;
+            if (requestClass == null || timeoutMicros <= 0) {
+                answer(pendingAnswer, RespWriter.error("SYNTAX"));
                 return;
             }
-            long named;
+            long keyNumber;
             try {
-                named = Long.parseUnsignedLong(key, 16);
+                keyNumber = Long.parseUnsignedLong(key, 16);
             } catch (NumberFormatException e) {
-                answer(due, RespWriter.error("SYNTAX"));
+                answer(pendingAnswer, RespWriter.error("SYNTAX"));
                 return;
             }
-            Catalogue.KeyProfile profile = catalogue.profile(named);
+            Catalogue.KeyProfile profile = catalogue.profile(keyNumber);
             boolean hit = read && cache.hit(key, time.now());
             double work = (hit ? catalogue.work(requestClass, profile) : kind.missMicros())
-                    + (fresh ? kind.handshakeMicros() : 0);
-            fresh = false;
+                    + (firstRequest ? kind.handshakeMicros() : 0);
+            firstRequest = false;
             if (read) {
-                fills.read();
+                fills.recordRead();
             }
-            press(balancer, work);
-            if (born != life) {
+            recordColdWork(balancer, work);
+            if (ownIncarnation != incarnation) {
                 return; // that was too much
             }
-            Work job = new Work(this, due, key, id, profile, read, work, time.now() + wait);
-            if (state == State.DRAINING || !station.offer(job)) {
-                turnAway(due);
+            RequestJob job =
+                    new RequestJob(this, pendingAnswer, key, id, profile, read, work, time.now() + timeoutMicros);
+            if (state == State.DRAINING || !server.offer(job)) {
+                reject(pendingAnswer);
             }
         }
 
-        private void turnAway(Due due) {
+        private void reject(PendingAnswer pendingAnswer) {
             tally.turnedAway();
-            due.unrun = true;
-            answer(due, BUSY);
+            pendingAnswer.notRun = true;
+            answer(pendingAnswer, BUSY);
         }
 
-        private void answer(Due due, byte[] answer) {
-            due.answer = answer;
-            while (!over && !row.isEmpty() && row.peek().answer != null) {
-                write(row.poll());
+        private void answer(PendingAnswer pendingAnswer, byte[] answer) {
+            pendingAnswer.answer = answer;
+            while (!closed && !pendingAnswers.isEmpty() && pendingAnswers.peek().answer != null) {
+                write(pendingAnswers.poll());
             }
         }
 
-        private void write(Due due) {
-            used = time.now();
-            if (due.id != null && spoil != null && Draw.chance(chance, spoilShare)) {
-                spoilt(due);
+        private void write(PendingAnswer pendingAnswer) {
+            lastUsedAt = time.now();
+            if (pendingAnswer.id != null && answerFault != null && Draw.chance(random, answerFaultShare)) {
+                writeFaulty(pendingAnswer);
                 return;
             }
-            if (due.id != null) {
-                judge.hostAnswered(due.id, name, due.unrun);
+            if (pendingAnswer.id != null) {
+                judge.hostAnswered(pendingAnswer.id, name, pendingAnswer.notRun);
             }
-            link.write(due.answer);
+            link.write(pendingAnswer.answer);
         }
 
-        private void spoilt(Due due) {
-            switch (spoil) {
+        private void writeFaulty(PendingAnswer pendingAnswer) {
+            switch (answerFault) {
                 case GARBLE -> {
-                    byte[] noise = new byte[NOISE];
-                    chance.nextBytes(noise);
-                    link.write(noise);
+                    byte[] garbage = new byte[GARBAGE_BYTES];
+                    random.nextBytes(garbage);
+                    link.write(garbage);
                 }
-                case CUT_SHORT -> link.write(java.util.Arrays.copyOf(due.answer, Math.max(1, due.answer.length / 2)));
+                case CUT_SHORT ->
+                    link.write(java.util.Arrays.copyOf(
+                            pendingAnswer.answer, Math.max(1, pendingAnswer.answer.length / 2)));
                 case DOUBLE -> {
-                    judge.hostAnswered(due.id, name, due.unrun);
+                    judge.hostAnswered(pendingAnswer.id, name, pendingAnswer.notRun);
                     ByteArrayOutputStream twice = new ByteArrayOutputStream();
-                    twice.writeBytes(due.answer);
-                    twice.writeBytes(due.answer);
+                    twice.writeBytes(pendingAnswer.answer);
+                    twice.writeBytes(pendingAnswer.answer);
                     link.write(twice.toByteArray());
                 }
                 case RESET -> {
@@ -510,7 +515,7 @@
                     closed();
                 }
                 case ERROR -> {
-                    judge.hostAnswered(due.id, name, false);
+                    judge.hostAnswered(pendingAnswer.id, name, false);
                     link.write(FAILED);
                 }
                 default -> {} // SILENT: nothing is written
@@ -519,49 +524,49 @@
 
         @Override
         public void closed() {
-            over = true;
+            closed = true;
             connections.remove(this);
-            arrivals.closed(number);
+            arrivals.closed(connectionId);
         }
     }
 
     /** One request in the waiting room or in work. Its connection may be gone; it goes on all the same. */
-    private final class Work implements Station.Job {
-        private final Connection from;
-        private final Due due;
+    private final class RequestJob implements ProcessorSharingServer.Job {
+        private final Connection connection;
+        private final PendingAnswer pendingAnswer;
         private final String key;
         private final String id;
         private final Catalogue.KeyProfile profile;
         private final boolean read;
         private final double work;
-        private final long until;
+        private final long deadline;
         private boolean hit;
 
-        Work(
-                Connection from,
-                Due due,
+        RequestJob(
+                Connection connection,
+                PendingAnswer pendingAnswer,
                 String key,
                 String id,
                 Catalogue.KeyProfile profile,
                 boolean read,
                 double work,
-                long until) {
-            this.from = from;
-            this.due = due;
+                long deadline) {
+            this.connection = connection;
+            this.pendingAnswer = pendingAnswer;
             this.key = key;
             this.id = id;
             this.profile = profile;
             this.read = read;
             this.work = work;
-            this.until = until;
+            this.deadline = deadline;
         }
 
         @Override
         public double begin() {
-            boolean expired = time.now() > until;
+            boolean expired = time.now() > deadline;
             if (expired
-                    && (kind.expired() == Expired.DROP || kind.expired() == Expired.EITHER && chance.nextBoolean())) {
-                from.turnAway(due);
+                    && (kind.expired() == Expired.DROP || kind.expired() == Expired.EITHER && random.nextBoolean())) {
+                connection.reject(pendingAnswer);
                 return -1;
             }
             hit = read && cache.hit(key, time.now());
@@ -569,11 +574,11 @@
         }
 
         @Override
-        public void done() {
-            if (from.born != life) {
+        public void completed() {
+            if (connection.ownIncarnation != incarnation) {
                 return;
             }
-            if (from.over) {
+            if (connection.closed) {
                 tally.wasted();
             }
             if (!hit) {
@@ -582,50 +587,50 @@
             }
             tally.hit();
             judge.ran(id, name);
-            if (Draw.chance(chance, kind.errorRate())) {
-                from.answer(due, FAILED);
+            if (Draw.chance(random, kind.errorRate())) {
+                connection.answer(pendingAnswer, FAILED);
                 return;
             }
             byte[] value = Values.value(key, id, profile.size());
             judge.made(id, value);
-            from.answer(due, answer(RespWriter.bulk(value), "hit"));
+            connection.answer(pendingAnswer, answer(RespWriter.bulk(value), "hit"));
         }
 
         private void miss() {
             long now = time.now();
-            boolean pending = fetching.getOrDefault(key, 0L) > now;
+            boolean pending = fetchLeases.getOrDefault(key, 0L) > now;
             if (read) {
                 tally.missed();
-                fetching.put(key, now + LEASE_MICROS);
-                if (fetching.size() > MOST_FETCHING) {
-                    fetching.remove(fetching.keySet().iterator().next());
+                fetchLeases.put(key, now + FETCH_LEASE_MICROS);
+                if (fetchLeases.size() > MAX_FETCH_LEASES) {
+                    fetchLeases.remove(fetchLeases.keySet().iterator().next());
                 }
-                fills.missed(id, Router.this, cold());
+                fills.recordMiss(id, Router.this, cold());
             }
-            due.unrun = true;
-            from.answer(due, answer(NOTHING, pending ? "pending" : "miss"));
+            pendingAnswer.notRun = true;
+            connection.answer(pendingAnswer, answer(NULL_BULK, pending ? "pending" : "miss"));
         }
 
-        private byte[] answer(byte[] value, String how) {
+        private byte[] answer(byte[] value, String cacheStatus) {
             ByteArrayOutputStream out = new ByteArrayOutputStream(value.length + 96);
             out.writeBytes(RespWriter.ascii("*3\r\n"));
             out.writeBytes(value);
-            out.writeBytes(RespWriter.bulk(RespWriter.ascii(how)));
+            out.writeBytes(RespWriter.bulk(RespWriter.ascii(cacheStatus)));
             out.writeBytes(
                     figures.reports() == Scenario.Reports.INLINE
-                            ? RespWriter.bulk(RespWriter.ascii(gauge.read(time.now(), station)))
-                            : NOTHING);
+                            ? RespWriter.bulk(RespWriter.ascii(gauge.report(time.now(), server)))
+                            : NULL_BULK);
             return out.toByteArray();
         }
     }
 
     /** An object that was popular before the run. */
-    record Popular(String key, long size) {}
+    record PrefilledObject(String key, long size) {}
 
     /** Fills its cache with what was popular before the run, the most popular first in the list. */
-    void prefill(List<Popular> popular) {
-        for (int i = popular.size() - 1; i >= 0; i--) {
-            cache.keep(popular.get(i).key, popular.get(i).size, time.now());
+    void prefill(List<PrefilledObject> objects) {
+        for (int i = objects.size() - 1; i >= 0; i--) {
+            cache.put(objects.get(i).key, objects.get(i).size, time.now());
         }
     }
 }
--- a/emulator/src/main/java/baymoor/emulator/world/RouterLoad.java
+++ b/emulator/src/main/java/baymoor/emulator/world/RouterLoad.java
@@ -24,46 +24,46 @@
  */
 public final class RouterLoad {
 
-    private static final int KEYS = 200;
-    private static final long MOST_MICROS = 60_000_000;
-    private static final int DIGITS = 4;
-    private static final int WARM_UP_PART = 10;
+    private static final int KEY_COUNT = 200;
+    private static final long MAX_LATENCY_MICROS = 60_000_000;
+    private static final int SIGNIFICANT_DIGITS = 4;
+    private static final int WARM_UP_DIVISOR = 10;
 
     private final Platform platform;
     private final Scenario scenario;
     private final Time time;
     private final Catalogue catalogue;
-    private final UniformRandomProvider chance;
+    private final UniformRandomProvider random;
     private final Router router;
-    private final Histogram latencies = new Histogram(MOST_MICROS, DIGITS);
-    private final ArrayDeque<Caller> idle = new ArrayDeque<>();
+    private final Histogram latencies = new Histogram(MAX_LATENCY_MICROS, SIGNIFICANT_DIGITS);
+    private final ArrayDeque<LoadClient> idleClients = new ArrayDeque<>();
     private final double rate;
-    private final Runnable over;
-    private long from;
-    private long until;
-    private long due;
-    private boolean askedAll;
-    private int open;
+    private final Runnable onEnd;
+    private long recordFrom;
+    private long loadEndsAt;
+    private long nextArrivalAt;
+    private boolean allSent;
+    private int openRequests;
     private boolean ended;
     private long failed;
 
     /** @param load share of the router's capacity that is asked for */
-    public RouterLoad(Scenario scenario, Platform platform, Streams streams, double load, Runnable over) {
+    public RouterLoad(Scenario scenario, Platform platform, Streams streams, double load, Runnable onEnd) {
         this.scenario = scenario;
         this.platform = platform;
-        this.over = over;
+        this.onEnd = onEnd;
         time = platform.time("clients-load", 0);
         catalogue = new Catalogue(scenario, scenario.seed());
-        chance = streams.of("load");
-        Time routersTime = platform.time("s-0", 0);
-        Fills fills = new Fills(routersTime, 0, 0, key -> {});
+        random = streams.of("load");
+        Time routerTime = platform.time("s-0", 0);
+        Fills fills = new Fills(routerTime, 0, 0, key -> {});
         Judge judge = new Judge(time::now, scenario.figures(), 0, b -> {});
         router = new Router(
                 "s-0",
                 0,
                 scenario.routers().get(0),
                 scenario.figures(),
-                routersTime,
+                routerTime,
                 streams.of("s-0"),
                 catalogue,
                 fills,
@@ -71,41 +71,41 @@
                 new Arrivals(judge, false),
                 new Tally(),
                 r -> {});
-        RequestClass kind = scenario.classes().get(0);
-        double work = 0;
-        for (int rank = 0; rank < KEYS; rank++) {
-            work += catalogue.work(kind, catalogue.profile(catalogue.key(rank, 0))) / KEYS;
+        RequestClass requestClass = scenario.classes().get(0);
+        double meanWork = 0;
+        for (int rank = 0; rank < KEY_COUNT; rank++) {
+            meanWork += catalogue.work(requestClass, catalogue.profile(catalogue.key(rank, 0))) / KEY_COUNT;
         }
-        rate = load * router.capacity() / work;
+        rate = load * router.capacity() / meanWork;
     }
 
     /** Starts; on the thread of the platform's time. */
     public void begin() {
         router.start(0);
-        router.prefill(IntStream.range(0, KEYS)
+        router.prefill(IntStream.range(0, KEY_COUNT)
                 .mapToLong(r -> catalogue.key(r, 0))
-                .mapToObj(k -> new Router.Popular(
+                .mapToObj(k -> new Router.PrefilledObject(
                         Catalogue.name(k), catalogue.profile(k).size()))
                 .toList());
         platform.listen(0, "s-0", 0, router::accept);
-        from = time.now() + scenario.durationMicros() / WARM_UP_PART;
-        until = time.now() + scenario.durationMicros();
-        due = time.now();
-        next();
+        recordFrom = time.now() + scenario.durationMicros() / WARM_UP_DIVISOR;
+        loadEndsAt = time.now() + scenario.durationMicros();
+        nextArrivalAt = time.now();
+        scheduleNext();
     }
 
-    private void next() {
+    private void scheduleNext() {
         // From arrival to arrival as drawn, not from when the timer ran: or each delay of a timer would thin the load.
-        due += Math.max(1, (long) Math.ceil(Draw.exponential(chance) / rate));
-        time.after(due - time.now(), () -> {
-            if (due < until) {
-                open++;
-                Caller caller = idle.isEmpty() ? new Caller() : idle.pollLast();
-                caller.ask(catalogue.key(chance.nextInt(KEYS), 0), Catalogue.name(chance.nextLong()));
-                next();
+        nextArrivalAt += Math.max(1, (long) Math.ceil(Draw.exponential(random) / rate));
+        time.after(nextArrivalAt - time.now(), () -> {
+            if (nextArrivalAt < loadEndsAt) {
+                openRequests++;
+                LoadClient client = idleClients.isEmpty() ? new LoadClient() : idleClients.pollLast();
+                client.send(catalogue.key(random.nextInt(KEY_COUNT), 0), Catalogue.name(random.nextLong()));
+                scheduleNext();
             } else {
-                askedAll = true;
-                if (open == 0) {
+                allSent = true;
+                if (openRequests == 0) {
                     end();
                 }
             }
@@ -116,7 +116,7 @@
         if (!ended) {
             ended = true;
             platform.stopListening(0, false);
-            over.run();
+            onEnd.run();
         }
     }
 
@@ -130,21 +130,21 @@
         return failed;
     }
 
-    private final class Caller implements LinkEvents {
+    private final class LoadClient implements LinkEvents {
         private final RespReader reader = RespReader.ofAnswers();
         private Link link;
         private byte[] command;
-        private long asked;
-        private boolean up;
+        private long arrivedAt;
+        private boolean connected;
 
-        void ask(long key, String id) {
-            asked = due;
-            RequestClass kind = scenario.classes().get(0);
+        void send(long key, String id) {
+            arrivedAt = nextArrivalAt;
+            RequestClass requestClass = scenario.classes().get(0);
             command = RespWriter.command(
                     RespWriter.ascii("OBJ.GET"),
                     RespWriter.ascii(Catalogue.name(key)),
                     RespWriter.ascii(id),
-                    RespWriter.ascii("c=" + kind.name() + ",t=load,d=" + kind.giveUpMicros() / 1000));
+                    RespWriter.ascii("c=" + requestClass.name() + ",t=load,d=" + requestClass.giveUpMicros() / 1000));
             if (link == null) {
                 link = platform.clients(0).dial(platform.address(0, 0), this);
             } else {
@@ -154,7 +154,7 @@
 
         @Override
         public void opened() {
-            up = true;
+            connected = true;
             link.write(command);
         }
 
@@ -164,21 +164,21 @@
             try {
                 Resp answer = reader.next();
                 if (answer != null) {
-                    idle.addLast(this);
-                    done(answer instanceof Resp.Many);
+                    idleClients.addLast(this);
+                    finish(answer instanceof Resp.Many);
                 }
             } catch (RespException e) {
                 link.close();
             }
         }
 
-        private void done(boolean served) {
-            open--;
+        private void finish(boolean served) {
+            openRequests--;
             failed += served ? 0 : 1;
-            if (asked >= from && served) {
-                latencies.recordValue(Math.min(MOST_MICROS, time.now() - asked));
+            if (arrivedAt >= recordFrom && served) {
+                latencies.recordValue(Math.min(MAX_LATENCY_MICROS, time.now() - arrivedAt));
             }
-            if (open == 0 && askedAll) {
+            if (openRequests == 0 && allSent) {
                 end();
             }
         }
@@ -190,8 +190,8 @@
 
         @Override
         public void closed() {
-            if (!idle.remove(this) || !up) {
-                done(false);
+            if (!idleClients.remove(this) || !connected) {
+                finish(false);
             }
         }
     }
--- a/emulator/src/main/java/baymoor/emulator/world/Routers.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Routers.java
@@ -22,22 +22,22 @@
 /** The routers of a world: one at each place, its entry in the inventory, and the scripted events that befall them. */
 final class Routers {
 
-    private static final double ROUGH = 0.1;
+    private static final double WEIGHT_ERROR = 0.1;
     /** Over all routers: a large fleet would spend minutes and memory on what most of it is never asked for. */
-    private static final int MOST_PREFILLED = 400_000;
+    private static final int MAX_PREFILLED_OBJECTS = 400_000;
 
     private final Scenario scenario;
     private final Platform platform;
     private final Streams streams;
     private final Time time;
-    private final UniformRandomProvider chance;
+    private final UniformRandomProvider random;
     private final Catalogue catalogue;
     private final Fills fills;
     private final Judge judge;
     private final Arrivals arrivals;
     private final Tally tally;
-    private final BiConsumer<String, String> said;
-    private final BiConsumer<Entry, Sign> changed;
+    private final BiConsumer<String, String> onEvent;
+    private final BiConsumer<Entry, Sign> onEntryChange;
     private final List<Slot> slots = new ArrayList<>();
     private int replacements;
 
@@ -53,7 +53,7 @@
     }
 
     /**
-     * @param said    hears of events: what happened, and to which router
+     * @param onEvent    hears of events: what happened, and to which router
      * @param changed hears of changed entries, and by what sign discovery can notice them
      */
     Routers(
@@ -61,38 +61,38 @@
             Platform platform,
             Streams streams,
             Time time,
-            UniformRandomProvider chance,
+            UniformRandomProvider random,
             Catalogue catalogue,
             Fills fills,
             Judge judge,
             Arrivals arrivals,
             Tally tally,
-            BiConsumer<String, String> said,
-            BiConsumer<Entry, Sign> changed) {
+            BiConsumer<String, String> onEvent,
+            BiConsumer<Entry, Sign> onEntryChange) {
         this.scenario = scenario;
         this.platform = platform;
         this.streams = streams;
         this.time = time;
-        this.chance = chance;
+        this.random = random;
         this.catalogue = catalogue;
         this.fills = fills;
         this.judge = judge;
         this.arrivals = arrivals;
         this.tally = tally;
-        this.said = said;
-        this.changed = changed;
+        this.onEvent = onEvent;
+        this.onEntryChange = onEntryChange;
         int place = 0;
         for (RouterKind kind : scenario.routers()) {
             for (int i = 0; i < kind.count(); i++) {
                 Slot slot = new Slot(place++);
-                slot.router =
-                        router("s-" + slot.place, slot.place % scenario.zones().size(), kind);
+                slot.router = createRouter(
+                        "s-" + slot.place, slot.place % scenario.zones().size(), kind);
                 slots.add(slot);
             }
         }
     }
 
-    private Router router(String name, int zone, RouterKind kind) {
+    private Router createRouter(String name, int zone, RouterKind kind) {
         return new Router(
                 name,
                 zone,
@@ -105,7 +105,7 @@
                 judge,
                 arrivals,
                 tally,
-                this::fell);
+                this::crashed);
     }
 
     /** How many places there are, from 0 on. */
@@ -119,26 +119,26 @@
     }
 
     /** Lets all of them listen, with what they would hold in service; {@code listed} gets their entries. */
-    void open(Consumer<Entry> listed) {
-        List<Router.Popular> popular = new ArrayList<>();
-        int held = Math.min(scenario.keys().count(), MOST_PREFILLED / Math.max(1, slots.size()));
-        for (int rank = 0; rank < held && scenario.keys().prefill(); rank++) {
+    void open(Consumer<Entry> onListed) {
+        List<Router.PrefilledObject> prefilled = new ArrayList<>();
+        int objectCount = Math.min(scenario.keys().count(), MAX_PREFILLED_OBJECTS / Math.max(1, slots.size()));
+        for (int rank = 0; rank < objectCount && scenario.keys().prefill(); rank++) {
             long key = catalogue.key(rank, 0);
-            popular.add(new Router.Popular(
+            prefilled.add(new Router.PrefilledObject(
                     Catalogue.name(key), catalogue.profile(key).size()));
         }
         for (Slot slot : slots) {
             slot.router.start(0);
-            slot.router.prefill(popular);
-            slot.entry = entry(slot);
-            listed.accept(slot.entry);
+            slot.router.prefill(prefilled);
+            slot.entry = createEntry(slot);
+            onListed.accept(slot.entry);
             listen(slot);
         }
     }
 
     /** The copies of a key are void, wherever they are. */
     void voided(String key) {
-        slots.forEach(slot -> slot.router.voided(key));
+        slots.forEach(slot -> slot.router.invalidate(key));
     }
 
     /** So large a share of the copies at each router goes void. */
@@ -146,9 +146,9 @@
         slots.forEach(slot -> slot.router.flush(share));
     }
 
-    private Entry entry(Slot slot) {
+    private Entry createEntry(Slot slot) {
         Router r = slot.router;
-        double rough = r.size() * (1 + ROUGH * (2 * chance.nextDouble() - 1));
+        double weight = r.ratedCapacity() * (1 + WEIGHT_ERROR * (2 * random.nextDouble() - 1));
         return new Entry(
                 r.name(),
                 slot.place,
@@ -156,8 +156,8 @@
                 r.kind().name(),
                 0,
                 Status.IN_SERVICE,
-                Math.round(rough * 100) / 100.0,
-                r.since());
+                Math.round(weight * 100) / 100.0,
+                r.startedAt());
     }
 
     private void listen(Slot slot) {
@@ -167,81 +167,82 @@
 
     /** Of all reads, those due to cold routers when their weights are cut by what they can do at present. */
     double coldDue() {
-        double cold = 0;
-        double all = 0;
+        double coldWeight = 0;
+        double totalWeight = 0;
         for (Slot s : slots) {
-            double weight = s.router.state() == Router.State.UP ? s.router.size() * s.router.warmth() : 0;
-            all += weight;
-            cold += s.router.cold() ? weight : 0;
+            double weight =
+                    s.router.state() == Router.State.UP ? s.router.ratedCapacity() * s.router.warmUpFactor() : 0;
+            totalWeight += weight;
+            coldWeight += s.router.cold() ? weight : 0;
         }
-        return all == 0 ? 0 : cold / all;
+        return totalWeight == 0 ? 0 : coldWeight / totalWeight;
     }
 
-    private void fell(Router router) {
+    private void crashed(Router router) {
         slots.stream().filter(s -> s.router == router).forEach(s -> {
-            said.accept("fell", router.name());
-            gone(s, false);
+            onEvent.accept("fell", router.name());
+            reportTerminated(s, false);
         });
     }
 
-    private void gone(Slot slot, boolean silently) {
+    private void reportTerminated(Slot slot, boolean silently) {
         platform.stopListening(slot.place, silently);
-        changed.accept(slot.entry.with(Status.TERMINATED), silently ? Sign.SILENT : Sign.ENDED);
+        onEntryChange.accept(slot.entry.withStatus(Status.TERMINATED), silently ? Sign.SILENT : Sign.ENDED);
     }
 
     /** So many of the routers that run, chosen by the seed, within a zone where one is named. */
-    private List<Slot> some(ScriptedEvent event) {
+    private List<Slot> chooseRunning(ScriptedEvent event) {
         List<Slot> running = new ArrayList<>(slots.stream()
                 .filter(s -> s.router.state() == Router.State.UP
                         && (event.zone().isEmpty()
                                 || scenario.zones().get(s.router.zone()).equals(event.zone())))
                 .toList());
-        Collections.shuffle(running, new Random(chance.nextLong()));
+        Collections.shuffle(running, new Random(random.nextLong()));
         return running.subList(0, Math.min(event.count(), running.size()));
     }
 
     /** Lets an event befall as many routers as it names. */
     void befall(ScriptedEvent event) {
-        some(event).forEach(slot -> befall(event, slot));
+        chooseRunning(event).forEach(slot -> apply(event, slot));
     }
 
-    private void befall(ScriptedEvent event, Slot slot) {
+    private void apply(ScriptedEvent event, Slot slot) {
         Router r = slot.router;
-        said.accept(event.what().name().toLowerCase(Locale.ROOT), r.name());
+        onEvent.accept(event.what().name().toLowerCase(Locale.ROOT), r.name());
         switch (event.what()) {
             case RESTART_ROUTER, VANISH_ROUTER -> {
-                gone(slot, event.what() == Scenario.EventKind.VANISH_ROUTER);
+                reportTerminated(slot, event.what() == Scenario.EventKind.VANISH_ROUTER);
                 r.stop();
                 time.after(event.forMicros(), () -> startCold(slot));
             }
             case REPLACE_ROUTER -> {
-                gone(slot, false);
+                reportTerminated(slot, false);
                 r.stop();
-                slot.router = router("s-" + slot.place + "r" + ++replacements, r.zone(), r.kind());
+                slot.router = createRouter("s-" + slot.place + "r" + ++replacements, r.zone(), r.kind());
                 time.after(event.forMicros(), () -> startCold(slot));
             }
             case DRAIN_ROUTER -> {
                 r.drain();
-                changed.accept(slot.entry.with(Status.TERMINATING), Sign.ENDED);
+                onEntryChange.accept(slot.entry.withStatus(Status.TERMINATING), Sign.ENDED);
                 time.after(event.forMicros(), () -> {
                     if (slot.router == r && r.state() == Router.State.DRAINING) {
                         r.undrain();
-                        changed.accept(slot.entry, Sign.ADDED);
+                        onEntryChange.accept(slot.entry, Sign.ADDED);
                     }
                 });
             }
             case PAUSE_ROUTER -> r.pause(event.forMicros());
             case SLOW_ROUTER -> {
-                r.slow(event.factor());
-                time.after(event.forMicros(), () -> r.slow(1));
+                r.setSlowdown(event.factor());
+                time.after(event.forMicros(), () -> r.setSlowdown(1));
             }
             case HANG_ROUTER -> {
                 r.hang(true);
                 time.after(event.forMicros(), () -> r.hang(false));
             }
             case BAD_ROUTER -> {
-                r.spoil(event.spoil(), event.share());
-                time.after(event.forMicros(), () -> r.spoil(null, 0));
+                r.injectAnswerFault(event.spoil(), event.share());
+                time.after(event.forMicros(), () -> r.injectAnswerFault(null, 0));
             }
             default -> throw new IllegalStateException("not an act on a router: " + event.what());
         }
@@ -253,8 +254,8 @@
             return;
         }
         r.start(time.now() / 1000 * 1000);
-        slot.entry = entry(slot);
+        slot.entry = createEntry(slot);
         listen(slot);
-        changed.accept(slot.entry, Sign.ADDED);
+        onEntryChange.accept(slot.entry, Sign.ADDED);
     }
 }
--- a/emulator/src/test/java/baymoor/emulator/world/HostsTest.java
+++ b/emulator/src/test/java/baymoor/emulator/world/HostsTest.java
@@ -25,8 +25,8 @@
 
     private final ManualTime time = new ManualTime();
     private final Tally tally = new Tally();
-    private final List<Router> fell = new ArrayList<>();
-    private final List<String> falls = new ArrayList<>();
+    private final List<Router> crashedRouters = new ArrayList<>();
+    private final List<String> originCrashes = new ArrayList<>();
     private Judge judge;
     private Catalogue catalogue;
     private Fills fills;
@@ -36,19 +36,19 @@
     private static final class Client extends RecordingLink {
         LinkEvents host;
 
-        void ask(String text) {
+        void send(String text) {
             host.received(text.getBytes(StandardCharsets.ISO_8859_1));
         }
 
-        String said() {
+        String takeOutput() {
             String all = out.toString();
             out.setLength(0);
             return all;
         }
     }
 
-    private Scenario world(String more) throws BadScenario {
-        Scenario s = ScenarioReader.parse("""
+    private Scenario createRouter(String extra) throws BadScenario {
+        Scenario scenario = ScenarioReader.parse("""
                 [origin]
                 capacity = "10/s"
                 slots = 1
@@ -70,15 +70,15 @@
                 handshake = "0ms"
                 cold_share = "10%"
                 cold = "10s"
-                """ + more, "hosts");
-        judge = new Judge(time::now, s.figures(), 0, b -> {});
-        catalogue = new Catalogue(s, 1);
-        fills = new Fills(time, 100, s.origin().fallMicros(), key -> router.voided(key));
+                """ + extra, "hosts");
+        judge = new Judge(time::now, scenario.figures(), 0, b -> {});
+        catalogue = new Catalogue(scenario, 1);
+        fills = new Fills(time, 100, scenario.origin().fallMicros(), key -> router.invalidate(key));
         router = new Router(
                 "a",
                 0,
-                s.routers().get(0),
-                s.figures(),
+                scenario.routers().get(0),
+                scenario.figures(),
                 time,
                 new Streams(1).of("a"),
                 catalogue,
@@ -86,15 +86,15 @@
                 judge,
                 new Arrivals(judge, false),
                 tally,
-                fell::add);
+                crashedRouters::add);
         router.start(0);
-        return s;
+        return scenario;
     }
 
     private Client client() {
-        Client c = new Client();
-        c.host = router.accept(c, 0);
-        return c;
+        Client client = new Client();
+        client.host = router.accept(client, 0);
+        return client;
     }
 
     private static String get(String key, String id, int millis) {
@@ -104,125 +104,125 @@
     }
 
     @Test
-    public void aMissIsToldThenAStoredObjectIsAHit() throws Exception {
-        world("");
-        Client c = client();
-        c.ask(get(KEY, "r1", 900));
+    public void reportsMissThenPendingThenHitAndMissesAfterInvalidation() throws Exception {
+        createRouter("");
+        Client client = client();
+        client.send(get(KEY, "r1", 900));
         time.pass(2_000);
-        assertEquals("*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n", c.said());
-        c.ask(get(KEY, "r2", 900));
+        assertEquals("*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n", client.takeOutput());
+        client.send(get(KEY, "r2", 900));
         time.pass(2_000);
-        assertEquals("*3\r\n$-1\r\n$7\r\npending\r\n$-1\r\n", c.said());
-        fills.fetched("r1", KEY, 100);
+        assertEquals("*3\r\n$-1\r\n$7\r\npending\r\n$-1\r\n", client.takeOutput());
+        fills.fill("r1", KEY, 100);
         time.pass(200);
-        c.ask(get(KEY, "r3", 900));
+        client.send(get(KEY, "r3", 900));
         time.pass(200_000);
-        String hit = c.said();
+        String hit = client.takeOutput();
         assertTrue(hit, hit.contains("v " + KEY + " r3 ") && hit.endsWith("$3\r\nhit\r\n$-1\r\n"));
         fills.changed(KEY);
         time.pass(200);
-        c.ask(get(KEY, "r4", 900));
+        client.send(get(KEY, "r4", 900));
         time.pass(2_000);
-        assertTrue(c.said().contains("miss"));
+        assertTrue(client.takeOutput().contains("miss"));
     }
 
     @Test
-    public void itsLoadIsReportedWhereTheSiteHasThat() throws Exception {
-        world("[rules]\nreports = \"inline\"\n");
-        Client c = client();
-        c.ask(get(KEY, "r1", 900));
+    public void reportsItsLoadOnlyWhenReportsAreEnabled() throws Exception {
+        createRouter("[rules]\nreports = \"inline\"\n");
+        Client client = client();
+        client.send(get(KEY, "r1", 900));
         time.pass(2_000);
         String text = "outstanding=0,backlog=0,utilization=0.00";
-        assertEquals("*3\r\n$-1\r\n$4\r\nmiss\r\n$" + text.length() + "\r\n" + text + "\r\n", c.said());
-        c.ask("*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n");
-        assertEquals("$" + text.length() + "\r\n" + text + "\r\n", c.said());
-        world("");
-        c = client();
-        c.ask("*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n");
-        assertEquals("-NOPERM\r\n", c.said());
+        assertEquals("*3\r\n$-1\r\n$4\r\nmiss\r\n$" + text.length() + "\r\n" + text + "\r\n", client.takeOutput());
+        client.send("*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n");
+        assertEquals("$" + text.length() + "\r\n" + text + "\r\n", client.takeOutput());
+        createRouter("");
+        client = client();
+        client.send("*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n");
+        assertEquals("-NOPERM\r\n", client.takeOutput());
     }
 
     @Test
-    public void pastSlotAndRoomItIsBusyAndACancelStopsNothing() throws Exception {
-        world("");
+    public void rejectsBeyondSlotsAndQueueAndRunsCancelledRequestsToTheEnd() throws Exception {
+        createRouter("");
         router.store(KEY, 100);
         Client first = client();
         Client second = client();
         Client third = client();
-        first.ask(get(KEY, "r1", 900));
-        second.ask(get(KEY, "r2", 900));
-        third.ask(get(KEY, "r3", 900));
-        assertEquals("-BUSY\r\n", third.said());
+        first.send(get(KEY, "r1", 900));
+        second.send(get(KEY, "r2", 900));
+        third.send(get(KEY, "r3", 900));
+        assertEquals("-BUSY\r\n", third.takeOutput());
         first.host.closed();
         second.host.closed();
-        assertEquals(1, router.inWork());
-        assertEquals(1, router.waiting());
+        assertEquals(1, router.runningCount());
+        assertEquals(1, router.waitingCount());
         time.pass(500_000);
         assertEquals("both ran for nobody", 2, tally.wastedRuns());
-        assertEquals("", first.said());
+        assertEquals("", first.takeOutput());
     }
 
     @Test
-    public void whatExpiresInTheWaitingRoomIsBegunOrDroppedAsTheKindHasIt() throws Exception {
+    public void startsOrDropsRequestsThatExpireInTheQueueAsConfigured() throws Exception {
         for (String expired : new String[] {"begin", "drop"}) {
-            world("expired = \"" + expired + "\"\n");
+            createRouter("expired = \"" + expired + "\"\n");
             router.store(KEY, 100);
             Client first = client();
             Client second = client();
-            first.ask(get(KEY, "r1", 900));
-            second.ask(get(KEY, "r2", 20));
+            first.send(get(KEY, "r1", 900));
+            second.send(get(KEY, "r2", 20));
             time.pass(500_000);
-            assertEquals(expired, expired.equals("drop"), second.said().equals("-BUSY\r\n"));
+            assertEquals(expired, expired.equals("drop"), second.takeOutput().equals("-BUSY\r\n"));
         }
     }
 
     @Test
-    public void answersKeepTheOrderOfTheirRequests() throws Exception {
-        world("");
+    public void answersPipelinedRequestsInOrder() throws Exception {
+        createRouter("");
         router.store(KEY, 100);
-        Client c = client();
-        c.ask(get(KEY, "r1", 900) + "*1\r\n$4\r\nPING\r\n");
-        assertEquals("", c.said());
+        Client client = client();
+        client.send(get(KEY, "r1", 900) + "*1\r\n$4\r\nPING\r\n");
+        assertEquals("", client.takeOutput());
         time.pass(300_000);
-        assertTrue(c.said().endsWith("+PONG\r\n"));
+        assertTrue(client.takeOutput().endsWith("+PONG\r\n"));
     }
 
     @Test
-    public void itStartsColdAndWarmsWithTime() throws Exception {
-        world("");
+    public void startsColdAndWarmsUpWithTime() throws Exception {
+        createRouter("");
         router.stop();
         assertNull(router.accept(new Client(), 0));
         router.start(time.now());
         assertTrue(router.cold());
-        assertEquals(0.1, router.warmth(), 0.001);
+        assertEquals(0.1, router.warmUpFactor(), 0.001);
         time.pass(5_000_000);
-        assertEquals(0.55, router.warmth(), 0.01);
+        assertEquals(0.55, router.warmUpFactor(), 0.01);
         time.pass(5_000_001);
-        assertEquals(1, router.warmth(), 0);
+        assertEquals(1, router.warmUpFactor(), 0);
     }
 
     @Test
-    public void tooMuchWorkWhileColdPushesItOver() throws Exception {
-        world("");
+    public void crashesUnderOverloadWhileCold() throws Exception {
+        createRouter("");
         router.stop();
         router.start(time.now());
-        Client c = client();
+        Client client = client();
         // Its budget is three times a tenth of a core for 3 s, some 1.0 s of work; a miss costs 1 ms.
         for (int i = 0; i < 900; i++) {
-            c.ask(get(KEY, "r" + i, 900));
+            client.send(get(KEY, "r" + i, 900));
         }
-        assertEquals(List.of(), fell);
+        assertEquals(List.of(), crashedRouters);
         for (int i = 900; i < 1_200; i++) {
-            c.ask(get(KEY, "r" + i, 900));
+            client.send(get(KEY, "r" + i, 900));
         }
-        assertEquals(List.of(router), fell);
-        assertTrue(c.closed);
+        assertEquals(List.of(router), crashedRouters);
+        assertTrue(client.closed);
         assertEquals(Router.State.DOWN, router.state());
     }
 
-    private Origin origin(Scenario s) {
+    private Origin origin(Scenario scenario) {
         return new Origin(
-                s,
+                scenario,
                 time,
                 new Streams(1).of("origin"),
                 catalogue,
@@ -231,68 +231,68 @@
                 new Arrivals(judge, false),
                 tally,
                 () -> 0,
-                () -> falls.add("fell"));
+                () -> originCrashes.add("fell"));
     }
 
-    private static String put(String id, String more) {
+    private static String put(String id, String extra) {
         return "PUT /" + KEY + " HTTP/1.1\r\nHost: o\r\nX-Correlation-Id: " + id
-                + "\r\nX-Facts: c=parcel-watch,t=x,d=900" + more + "\r\nContent-Length: 3\r\n\r\nabc";
+                + "\r\nX-Facts: c=parcel-watch,t=x,d=900" + extra + "\r\nContent-Length: 3\r\n\r\nabc";
     }
 
     @Test
-    public void theRepeatOfAKeyedWriteHasNoSecondEffectWithinItsWindow() throws Exception {
-        Origin origin = origin(world(""));
-        Client c = new Client();
-        c.host = origin.accept(c, 0);
-        c.ask(put("w1", ",k=77"));
+    public void originDropsRepeatedKeyedWritesWithinTheirWindow() throws Exception {
+        Origin origin = origin(createRouter(""));
+        Client client = new Client();
+        client.host = origin.accept(client, 0);
+        client.send(put("w1", ",k=77"));
         time.pass(150_000);
-        assertTrue(c.said().startsWith("HTTP/1.1 200 OK\r\n"));
-        c.ask(put("w2", ",k=77"));
+        assertTrue(client.takeOutput().startsWith("HTTP/1.1 200 OK\r\n"));
+        client.send(put("w2", ",k=77"));
         time.pass(150_000);
-        assertTrue("the repeat is answered all the same", c.said().contains("r " + KEY + " w2"));
+        assertTrue("the repeat is answered all the same", client.takeOutput().contains("r " + KEY + " w2"));
         assertEquals(1, tally.writes());
         assertEquals(1, tally.repeatsDropped());
         time.pass(25_000_000);
-        c.ask(put("w3", ",k=77"));
+        client.send(put("w3", ",k=77"));
         time.pass(150_000);
         assertEquals(2, tally.writes());
     }
 
     @Test
-    public void theOriginTurnsAwayWhatIsTooMuchAndSaysThatNothingRan() throws Exception {
-        Origin origin = origin(world(""));
-        Client[] c = new Client[3];
+    public void originRejectsBeyondSlotsAndQueueAndMarksRequestsUnprocessed() throws Exception {
+        Origin origin = origin(createRouter(""));
+        Client[] clients = new Client[3];
         for (int i = 0; i < 3; i++) {
-            c[i] = new Client();
-            c[i].host = origin.accept(c[i], 0);
-            c[i].ask(put("w" + i, ""));
+            clients[i] = new Client();
+            clients[i].host = origin.accept(clients[i], 0);
+            clients[i].send(put("w" + i, ""));
         }
-        String third = c[2].said();
+        String third = clients[2].takeOutput();
         assertTrue(third, third.startsWith("HTTP/1.1 503 ") && third.contains("X-Unprocessed: 1\r\n"));
         time.pass(300_000);
         assertEquals(2, tally.writes());
     }
 
     @Test
-    public void theOriginStopsUnderTooMuchForTooLong() throws Exception {
-        Origin origin = origin(world(""));
-        Client c = new Client();
-        c.host = origin.accept(c, 0);
+    public void originCrashesUnderSustainedOverload() throws Exception {
+        Origin origin = origin(createRouter(""));
+        Client client = new Client();
+        client.host = origin.accept(client, 0);
         for (int i = 0; i < 25; i++) {
-            c.host = c.host == null ? origin.accept(c, 0) : c.host;
-            c.ask(put("w" + i, ""));
+            client.host = client.host == null ? origin.accept(client, 0) : client.host;
+            client.send(put("w" + i, ""));
             time.pass(1_000);
         }
         assertTrue(origin.up());
-        List<Client> more = new ArrayList<>();
+        List<Client> otherClients = new ArrayList<>();
         for (int i = 0; i < 25 && origin.up(); i++) {
-            Client d = new Client();
-            d.host = origin.accept(d, 0);
-            d.ask(put("x" + i, ""));
-            more.add(d);
+            Client other = new Client();
+            other.host = origin.accept(other, 0);
+            other.send(put("x" + i, ""));
+            otherClients.add(other);
         }
-        assertEquals(List.of("fell"), falls);
-        assertTrue(c.closed && more.get(0).closed);
+        assertEquals(List.of("fell"), originCrashes);
+        assertTrue(client.closed && otherClients.get(0).closed);
         assertNull(origin.accept(new Client(), 0));
     }
 }
