--- a/emulator/src/main/java/baymoor/emulator/world/Agent.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Agent.java
@@ -23,82 +23,82 @@
     /** Discovery as an agent sees it. */
     interface Source {
         /** Whether discovery is up and reaches this agent. */
-        boolean up();
+        boolean reachable();
 
         long index();
 
         Collection<Entry> listed();
 
         /** How long a change takes on its way here. */
-        long delayMicros();
+        long pushDelayMicros();
 
         /** A list in discovery's form, as the balancer beside reaches its hosts; what it names counts as told. */
-        byte[] line(long at, boolean snapshot, Collection<Entry> entries);
+        byte[] encode(long version, boolean snapshot, Collection<Entry> entries);
 
-        void told(Collection<Entry> entries);
+        void recordDelivered(Collection<Entry> entries);
     }
 
     private final Source source;
     private final Time time;
-    private final Map<String, Entry> held = new LinkedHashMap<>();
+    private final Map<String, Entry> entries = new LinkedHashMap<>();
     /** What changed, by the version at which it came here. */
-    private final TreeMap<Long, List<Entry>> changes = new TreeMap<>();
+    private final TreeMap<Long, List<Entry>> changesByVersion = new TreeMap<>();
 
     private final Set<Connection> watches = new LinkedHashSet<>();
-    private final List<Runnable> waiting = new ArrayList<>();
+    private final List<Runnable> pendingAnswers = new ArrayList<>();
     private long index;
-    private boolean set;
+    private boolean updateScheduled;
 
     Agent(Source source, Time time) {
         this.source = source;
         this.time = time;
-        take();
+        refresh();
     }
 
     long index() {
         return index;
     }
 
-    Collection<Entry> held() {
-        return List.copyOf(held.values());
+    Collection<Entry> entries() {
+        return List.copyOf(entries.values());
     }
 
     /** Discovery has something to tell, or is back: it arrives here some time later. */
-    void due() {
-        if (!set) {
-            set = true;
-            time.after(source.delayMicros(), () -> {
-                set = false;
-                if (source.up()) {
-                    boolean news = source.index() > index;
-                    List<Entry> changed = take();
-                    if (news) {
-                        watches.forEach(w -> w.stream.write(source.line(index, false, changed)));
+    void scheduleUpdate() {
+        if (!updateScheduled) {
+            updateScheduled = true;
+            time.after(source.pushDelayMicros(), () -> {
+                updateScheduled = false;
+                if (source.reachable()) {
+                    boolean newVersion = source.index() > index;
+                    List<Entry> changedEntries = refresh();
+                    if (newVersion) {
+                        watches.forEach(w -> w.stream.write(source.encode(index, false, changedEntries)));
                     }
-                    List.copyOf(waiting).forEach(Runnable::run);
-                    waiting.clear();
+                    List.copyOf(pendingAnswers).forEach(Runnable::run);
+                    pendingAnswers.clear();
                 }
             });
         }
     }
 
     /** Takes over what discovery lists now, and gives what is new of it. */
-    private List<Entry> take() {
-        List<Entry> changed = new ArrayList<>();
-        Map<String, Entry> now = new LinkedHashMap<>();
-        source.listed().forEach(e -> now.put(e.name(), e));
-        held.values().stream()
-                .filter(e -> !now.containsKey(e.name()))
-                .forEach(e -> changed.add(e.withStatus(Listing.Status.TERMINATED)));
-        now.values().stream().filter(e -> !e.equals(held.get(e.name()))).forEach(changed::add);
-        held.clear();
-        held.putAll(now);
+    private List<Entry> refresh() {
+        List<Entry> changedEntries = new ArrayList<>();
+        Map<String, Entry> listed = new LinkedHashMap<>();
+        source.listed().forEach(e -> listed.put(e.name(), e));
+        entries.values().stream()
+                .filter(e -> !listed.containsKey(e.name()))
+                .forEach(e -> changedEntries.add(e.withStatus(Listing.Status.TERMINATED)));
+        listed.values().stream().filter(e -> !e.equals(entries.get(e.name()))).forEach(changedEntries::add);
+        entries.clear();
+        entries.putAll(listed);
         index = source.index();
-        if (!changed.isEmpty()) {
-            changes.put(index, changed);
+        if (!changedEntries.isEmpty()) {
+            changesByVersion.put(index, changedEntries);
         }
-        source.told(changed);
-        return changed;
+        source.recordDelivered(changedEntries);
+        return changedEntries;
     }
 
     LinkEvents accept(Link link) {
@@ -109,7 +109,7 @@
         private final Link link;
         private final HttpRequests reader = new HttpRequests();
         private ListStream stream;
-        private boolean over;
+        private boolean closed;
 
         Connection(Link link) {
             this.link = link;
@@ -119,42 +119,44 @@
         public void received(byte[] bytes) {
             reader.feed(bytes);
             try {
-                for (HttpRequests.Request r = reader.next(); r != null && !over; r = reader.next()) {
+                for (HttpRequests.Request r = reader.next(); r != null && !closed; r = reader.next()) {
                     String target = r.target();
-                    if (source.up()) {
+                    if (source.reachable()) {
                         answer(target);
                     } else {
-                        waiting.add(() -> answer(target));
+                        pendingAnswers.add(() -> answer(target));
                     }
                 }
             } catch (HttpException e) {
-                over = true;
+                closed = true;
                 link.finish(true);
             }
         }
 
         private void answer(String target) {
-            if (over) {
+            if (closed) {
                 return;
             }
             if (!target.contains("watch=1")) {
                 link.write(HttpRequests.response(
-                        200, "OK", "Content-Type: application/json\r\n", source.line(index, true, held())));
+                        200, "OK", "Content-Type: application/json\r\n", source.encode(index, true, entries())));
                 return;
             }
-            long from = ListStream.from(target);
-            boolean known = from >= 1 && from <= index && (changes.isEmpty() || from >= changes.firstKey());
-            List<Entry> since = changes.tailMap(from, false).values().stream()
+            long fromVersion = ListStream.fromVersion(target);
+            boolean resumable = fromVersion >= 1
+                    && fromVersion <= index
+                    && (changesByVersion.isEmpty() || fromVersion >= changesByVersion.firstKey());
+            List<Entry> changesSince = changesByVersion.tailMap(fromVersion, false).values().stream()
                     .flatMap(List::stream)
                     .toList();
-            stream = new ListStream(link, time, () -> !over, source::up);
+            stream = new ListStream(link, time, () -> !closed, source::reachable);
             watches.add(this);
-            stream.open(source.line(index, !known, known ? since : held()));
+            stream.open(source.encode(index, !resumable, resumable ? changesSince : entries()));
         }
 
         @Override
         public void closed() {
-            over = true;
+            closed = true;
             watches.remove(this);
         }
     }
--- a/emulator/src/main/java/baymoor/emulator/world/DiscoveryService.java
+++ b/emulator/src/main/java/baymoor/emulator/world/DiscoveryService.java
@@ -28,14 +28,14 @@
  */
 public final class DiscoveryService {
 
-    private static final int MOST_HISTORY = 1000;
+    private static final int MAX_HISTORY = 1000;
     /**
      * A change counts as told so long after discovery had it and could be reached, whether it arrived or not; so does what a
      * watch that has fallen silent misses, from when it fell silent.
      */
-    private static final long TOLD_MICROS = 6_000_000;
+    private static final long DELIVERY_DEADLINE_MICROS = 6_000_000;
 
-    private static final byte[] NONE = new byte[0];
+    private static final byte[] EMPTY_BODY = new byte[0];
 
     /** The address of a host as one balancer reaches it, and the Unix time of a moment of the world's clock. */
     public interface Reach {
@@ -46,62 +46,62 @@
 
     /** Hears how each call ended. */
     @FunctionalInterface
-    interface Calls {
-        void ended(int balancer, String how);
+    interface CallListener {
+        void callEnded(int balancer, String outcome);
     }
 
     static final String WATCHED = "list-watched";
     static final String ANSWERED = "list-answered";
-    static final String TURNED_DOWN = "list-turned-down";
+    static final String REJECTED = "list-turned-down";
 
     private final Scenario.Discovery spec;
     private final Time time;
-    private final UniformRandomProvider chance;
+    private final UniformRandomProvider random;
     private final Judge judge;
     private final Reach reach;
-    private final IntToLongFunction cutSince;
-    private final Calls calls;
+    private final IntToLongFunction partitionedSince;
+    private final CallListener callListener;
     /** What is listed, and the last change of each name by its version, those that ended among them. */
     private final Map<String, Entry> listed = new LinkedHashMap<>();
 
-    private final TreeMap<Long, Entry> history = new TreeMap<>();
-    private final Map<String, Long> changedLast = new LinkedHashMap<>();
+    private final TreeMap<Long, Entry> changeHistory = new TreeMap<>();
+    private final Map<String, Long> lastChangeVersion = new LinkedHashMap<>();
     private final Set<Watch> watches = new LinkedHashSet<>();
     private final Set<Connection> connections = new LinkedHashSet<>();
     /** Where lists are pushed: the agent beside each balancer. */
     private final Map<Integer, Agent> agents = new LinkedHashMap<>();
     /** Number of the newest change of each name that is listed. */
-    private final Map<String, Long> shown = new LinkedHashMap<>();
+    private final Map<String, Long> newestChange = new LinkedHashMap<>();
 
-    private long changes;
+    private long changeCount;
     private long index = 1;
     private long busyUntil;
-    private double slowness = 1;
+    private double slowdown = 1;
     private boolean up = true;
     private long upSince;
     /** Balancers that have been started. */
-    private final Set<Integer> started = new LinkedHashSet<>();
+    private final Set<Integer> startedBalancers = new LinkedHashSet<>();
     /** Changes that count as told to all by now. */
-    private final Map<String, Entry> toldToAll = new LinkedHashMap<>();
+    private final Map<String, Entry> deliveredToAll = new LinkedHashMap<>();
     /** The list as each balancer was last written it, where a new process starts with that. */
-    private final Map<Integer, Held> held = new LinkedHashMap<>();
+    private final Map<Integer, WrittenList> lastWritten = new LinkedHashMap<>();
 
-    private record Held(long index, Collection<Entry> entries) {}
+    private record WrittenList(long index, Collection<Entry> entries) {}
 
-    /** @param cutSince since when a balancer is cut off from the service, -1 if it is not */
+    /** @param partitionedSince since when a balancer is cut off from the service, -1 if it is not */
     DiscoveryService(
             Scenario.Discovery spec,
             Time time,
-            UniformRandomProvider chance,
+            UniformRandomProvider random,
             Judge judge,
             Reach reach,
-            IntToLongFunction cutSince,
-            Calls calls) {
-        this.calls = calls;
-        this.cutSince = cutSince;
+            IntToLongFunction partitionedSince,
+            CallListener callListener) {
+        this.callListener = callListener;
+        this.partitionedSince = partitionedSince;
         this.spec = spec;
         this.time = time;
-        this.chance = chance;
+        this.random = random;
         this.judge = judge;
         this.reach = reach;
     }
@@ -120,18 +120,18 @@
 
     /** Something has changed; the list shows it once discovery has noticed. */
     void changed(Entry entry, Sign sign) {
-        long after = Draw.within(
-                chance,
+        long noticeMicros = Draw.within(
+                random,
                 switch (sign) {
                     case ENDED -> spec.notice();
                     case SILENT -> spec.silent();
                     case ADDED -> spec.add();
                 });
-        long number = ++changes;
-        time.after(after, () -> {
+        long changeNumber = ++changeCount;
+        time.after(noticeMicros, () -> {
             // What was noticed late may have been overtaken by what came after it.
-            if (shown.getOrDefault(entry.name(), 0L) < number) {
-                shown.put(entry.name(), number);
+            if (newestChange.getOrDefault(entry.name(), 0L) < changeNumber) {
+                newestChange.put(entry.name(), changeNumber);
                 list(entry);
             }
         });
@@ -139,48 +139,50 @@
 
     private void list(Entry entry) {
         index++;
-        toldToAll.remove(entry.name());
-        Long before = changedLast.put(entry.name(), index);
-        if (before != null) {
-            history.remove(before);
+        deliveredToAll.remove(entry.name());
+        Long previousVersion = lastChangeVersion.put(entry.name(), index);
+        if (previousVersion != null) {
+            changeHistory.remove(previousVersion);
         }
-        history.put(index, entry);
-        while (history.size() > MOST_HISTORY) {
-            history.pollFirstEntry();
+        changeHistory.put(index, entry);
+        while (changeHistory.size() > MAX_HISTORY) {
+            changeHistory.pollFirstEntry();
         }
         if (entry.status() == Status.TERMINATED) {
             listed.remove(entry.name());
         } else {
             listed.put(entry.name(), entry);
         }
-        watches.forEach(Watch::due);
+        watches.forEach(Watch::scheduleUpdate);
         push();
         if (!spec.pushed()) {
-            long shownAt = index;
-            time.after(TOLD_MICROS, () -> countAsTold(entry, shownAt));
+            long listedVersion = index;
+            time.after(DELIVERY_DEADLINE_MICROS, () -> assumeDelivered(entry, listedVersion));
         }
     }
 
     /** A change is long enough ago, unless discovery could not be reached since. */
-    private void countAsTold(Entry entry, long shownAt) {
-        if (changedLast.get(entry.name()) != shownAt) {
+    private void assumeDelivered(Entry entry, long listedVersion) {
+        if (lastChangeVersion.get(entry.name()) != listedVersion) {
             return; // a later change of it has a time of its own
         }
-        if (!up || time.now() - upSince < TOLD_MICROS) {
-            time.after(up ? upSince + TOLD_MICROS - time.now() : TOLD_MICROS, () -> countAsTold(entry, shownAt));
+        if (!up || time.now() - upSince < DELIVERY_DEADLINE_MICROS) {
+            time.after(
+                    up ? upSince + DELIVERY_DEADLINE_MICROS - time.now() : DELIVERY_DEADLINE_MICROS,
+                    () -> assumeDelivered(entry, listedVersion));
             return;
         }
-        toldToAll.put(entry.name(), entry);
-        for (int balancer : started) {
-            if (cutSince.applyAsLong(balancer) < 0) {
-                told(balancer, List.of(entry));
+        deliveredToAll.put(entry.name(), entry);
+        for (int balancer : startedBalancers) {
+            if (partitionedSince.applyAsLong(balancer) < 0) {
+                recordDelivered(balancer, List.of(entry));
             }
         }
     }
 
     /** What changed after a version. */
-    private List<Entry> since(long version) {
-        return List.copyOf(history.tailMap(version, false).values());
+    private List<Entry> changesSince(long version) {
+        return List.copyOf(changeHistory.tailMap(version, false).values());
     }
 
     /** The list as it is shown now. */
@@ -188,14 +190,14 @@
         return List.copyOf(listed.values());
     }
 
-    public void slow(double times) {
-        slowness = times;
+    public void slow(double factor) {
+        slowdown = factor;
     }
 
     public void down() {
         up = false;
         for (Connection c : List.copyOf(connections)) {
-            c.over = true;
+            c.closed = true;
             c.link.close();
         }
         connections.clear();
@@ -209,15 +211,15 @@
         push();
     }
 
-    /** An agent beside a balancer, to which changes are pushed; it hears nothing while {@code reached} says so. */
-    Agent agent(int balancer, BooleanSupplier reached) {
+    /** An agent beside a balancer, to which changes are pushed; it hears nothing while {@code reachable} says so. */
+    Agent agent(int balancer, BooleanSupplier reachable) {
         return agents.computeIfAbsent(
                 balancer,
                 b -> new Agent(
                         new Agent.Source() {
                             @Override
-                            public boolean up() {
-                                return up && reached.getAsBoolean();
+                            public boolean reachable() {
+                                return up && reachable.getAsBoolean();
                             }
 
                             @Override
@@ -231,18 +233,18 @@
                             }
 
                             @Override
-                            public long delayMicros() {
-                                return Draw.within(chance, spec.spread());
+                            public long pushDelayMicros() {
+                                return Draw.within(random, spec.spread());
                             }
 
                             @Override
-                            public byte[] line(long at, boolean snapshot, Collection<Entry> entries) {
-                                return DiscoveryService.this.line(at, snapshot, entries, balancer);
+                            public byte[] encode(long version, boolean snapshot, Collection<Entry> entries) {
+                                return DiscoveryService.this.encode(version, snapshot, entries, balancer);
                             }
 
                             @Override
-                            public void told(Collection<Entry> entries) {
-                                DiscoveryService.this.told(balancer, entries);
+                            public void recordDelivered(Collection<Entry> entries) {
+                                DiscoveryService.this.recordDelivered(balancer, entries);
                             }
                         },
                         time));
@@ -250,7 +252,7 @@
 
     /** Sends all agents what they have not heard yet; those that can't be reached go without. */
     void push() {
-        agents.values().forEach(Agent::due);
+        agents.values().forEach(Agent::scheduleUpdate);
     }
 
     LinkEvents accept(Link link, int balancer) {
@@ -265,48 +267,49 @@
     /** A balancer's process starts with the list as it is now; of what its forerunner was told it knows nothing. */
     void given(int balancer) {
         judge.started(balancer);
-        started.add(balancer);
-        told(balancer, listedFor(balancer));
-        told(balancer, toldToAll.values());
+        startedBalancers.add(balancer);
+        recordDelivered(balancer, listedFor(balancer));
+        recordDelivered(balancer, deliveredToAll.values());
     }
 
     /** The list as a balancer last held it: the agent's, where there is one. */
     Collection<Entry> listedFor(int balancer) {
         Agent agent = agents.get(balancer);
-        Held last = held.get(balancer);
-        return agent != null ? agent.held() : last != null ? last.entries() : listed();
+        WrittenList written = lastWritten.get(balancer);
+        return agent != null ? agent.entries() : written != null ? written.entries() : listed();
     }
 
     long indexFor(int balancer) {
         Agent agent = agents.get(balancer);
-        Held last = held.get(balancer);
-        return agent != null ? agent.index() : last != null ? last.index() : index;
+        WrittenList written = lastWritten.get(balancer);
+        return agent != null ? agent.index() : written != null ? written.index() : index;
     }
 
-    private void told(int balancer, Collection<Entry> entries) {
-        for (Entry e : entries) {
-            judge.told(balancer, e.name(), e.status() != Status.IN_SERVICE, e.sinceMicros());
+    private void recordDelivered(int balancer, Collection<Entry> entries) {
+        for (Entry entry : entries) {
+            judge.told(balancer, entry.name(), entry.status() != Status.IN_SERVICE, entry.startedAtMicros());
         }
     }
 
-    private byte[] line(long at, boolean snapshot, Collection<Entry> entries, int balancer) {
-        long since = cutSince.applyAsLong(balancer);
-        if (since < 0) {
-            told(balancer, entries);
+    private byte[] encode(long version, boolean snapshot, Collection<Entry> entries, int balancer) {
+        long isolatedSince = partitionedSince.applyAsLong(balancer);
+        if (isolatedSince < 0) {
+            recordDelivered(balancer, entries);
             if (spec.startsAsHeld()) {
-                held.put(balancer, new Held(at, listed()));
+                lastWritten.put(balancer, new WrittenList(version, listed()));
             }
         } else {
             // Seen: what was written into a connection that a cut had silenced counted as told, and the rule broke.
             time.after(
-                    Math.max(0, since + TOLD_MICROS - time.now()),
-                    () -> told(
+                    Math.max(0, isolatedSince + DELIVERY_DEADLINE_MICROS - time.now()),
+                    () -> recordDelivered(
                             balancer,
                             entries.stream()
-                                    .map(e -> listed.getOrDefault(e.name(), e))
+                                    .map(entry -> listed.getOrDefault(entry.name(), entry))
                                     .toList()));
         }
-        return (Listing.object(at, snapshot, entries, host -> reach.address(host, balancer), reach::unixMillis) + "\n")
+        return (Listing.object(version, snapshot, entries, host -> reach.address(host, balancer), reach::unixMillis)
+                        + "\n")
                 .getBytes(StandardCharsets.UTF_8);
     }
 
@@ -314,7 +317,7 @@
         private final Link link;
         private final int balancer;
         private final HttpRequests reader = new HttpRequests();
-        private boolean over;
+        private boolean closed;
         private Watch watch;
 
         Connection(Link link, int balancer) {
@@ -326,74 +329,76 @@
         public void received(byte[] bytes) {
             reader.feed(bytes);
             try {
-                for (HttpRequests.Request r = reader.next(); r != null && !over; r = reader.next()) {
+                for (HttpRequests.Request r = reader.next(); r != null && !closed; r = reader.next()) {
                     call(r.target());
                 }
             } catch (HttpException e) {
-                end(400, "Bad Request");
+                closeWith(400, "Bad Request");
             }
         }
 
-        private void end(int status, String reason) {
-            if (!over) {
-                over = true;
-                link.write(HttpRequests.response(status, reason, "Connection: close\r\n", NONE));
+        private void closeWith(int status, String reason) {
+            if (!closed) {
+                closed = true;
+                link.write(HttpRequests.response(status, reason, "Connection: close\r\n", EMPTY_BODY));
                 link.finish(true);
                 connections.remove(this);
             }
         }
 
-        private void turnDown() {
-            if (!over) {
-                calls.ended(balancer, TURNED_DOWN);
-                end(503, "Service Unavailable");
+        private void rejectCall() {
+            if (!closed) {
+                callListener.callEnded(balancer, REJECTED);
+                closeWith(503, "Service Unavailable");
             }
         }
 
         /** One after another: a call begins when those before it are done. */
         private void call(String target) {
             if (!up) {
-                time.after(spec.atOnce() ? 0 : spec.timeoutMicros(), this::turnDown);
+                time.after(spec.atOnce() ? 0 : spec.timeoutMicros(), this::rejectCall);
                 return;
             }
-            boolean watching = target.contains("watch=1");
+            boolean isWatch = target.contains("watch=1");
             if (!target.startsWith("/v1/servers")) {
-                end(404, "Not Found");
+                closeWith(404, "Not Found");
                 return;
             }
-            long lines = watching ? 1 : listed.size();
-            long cost = (long) ((spec.callMicros() + lines * spec.lineMicros()) * slowness);
-            long start = Math.max(time.now(), busyUntil);
-            if (start + cost - time.now() > spec.timeoutMicros()) {
-                busyUntil = start + (long) (spec.failedMicros() * slowness);
-                time.after(spec.atOnce() ? 0 : spec.timeoutMicros(), this::turnDown);
+            long lineCount = isWatch ? 1 : listed.size();
+            long costMicros = (long) ((spec.callMicros() + lineCount * spec.lineMicros()) * slowdown);
+            long startAt = Math.max(time.now(), busyUntil);
+            if (startAt + costMicros - time.now() > spec.timeoutMicros()) {
+                busyUntil = startAt + (long) (spec.failedMicros() * slowdown);
+                time.after(spec.atOnce() ? 0 : spec.timeoutMicros(), this::rejectCall);
                 return;
             }
-            busyUntil = start + cost;
+            busyUntil = startAt + costMicros;
             time.after(busyUntil - time.now(), () -> {
-                if (!over && up) {
-                    calls.ended(balancer, watching ? WATCHED : ANSWERED);
-                    if (watching) {
-                        watch(ListStream.from(target));
+                if (!closed && up) {
+                    callListener.callEnded(balancer, isWatch ? WATCHED : ANSWERED);
+                    if (isWatch) {
+                        watch(ListStream.fromVersion(target));
                     } else {
-                        byte[] body = line(index, true, listed(), balancer);
+                        byte[] body = encode(index, true, listed(), balancer);
                         link.write(HttpRequests.response(200, "OK", "Content-Type: application/json\r\n", body));
                     }
                 }
             });
         }
 
-        private void watch(long from) {
+        private void watch(long fromVersion) {
             watch = new Watch(this);
             watches.add(watch);
-            boolean known = from >= 1 && from <= index && (history.isEmpty() || from >= history.firstKey() - 1);
-            watch.stream.open(line(index, !known, known ? since(from) : listed(), balancer));
-            watch.shown = index;
+            boolean resumable = fromVersion >= 1
+                    && fromVersion <= index
+                    && (changeHistory.isEmpty() || fromVersion >= changeHistory.firstKey() - 1);
+            watch.stream.open(encode(index, !resumable, resumable ? changesSince(fromVersion) : listed(), balancer));
+            watch.writtenIndex = index;
         }
 
         @Override
         public void closed() {
-            over = true;
+            closed = true;
             connections.remove(this);
             if (watch != null) {
                 watches.remove(watch);
@@ -403,24 +408,24 @@
 
     /** One balancer's watch: changes some time after they are listed, and an empty line while there are none. */
     private final class Watch {
-        private final Connection on;
+        private final Connection connection;
         private final ListStream stream;
-        private long shown;
-        private boolean set;
+        private long writtenIndex;
+        private boolean updateScheduled;
 
-        Watch(Connection on) {
-            this.on = on;
-            stream = new ListStream(on.link, time, () -> !on.over && up, () -> true);
+        Watch(Connection connection) {
+            this.connection = connection;
+            stream = new ListStream(connection.link, time, () -> !connection.closed && up, () -> true);
         }
 
-        void due() {
-            if (!set) {
-                set = true;
-                time.after(Draw.within(chance, spec.spread()), () -> {
-                    set = false;
-                    if (!on.over && up) {
-                        stream.write(line(index, false, since(shown), on.balancer));
-                        shown = index;
+        void scheduleUpdate() {
+            if (!updateScheduled) {
+                updateScheduled = true;
+                time.after(Draw.within(random, spec.spread()), () -> {
+                    updateScheduled = false;
+                    if (!connection.closed && up) {
+                        stream.write(encode(index, false, changesSince(writtenIndex), connection.balancer));
+                        writtenIndex = index;
                     }
                 });
             }
--- a/emulator/src/main/java/baymoor/emulator/world/ListStream.java
+++ b/emulator/src/main/java/baymoor/emulator/world/ListStream.java
@@ -8,27 +8,27 @@
 /** The chunked answer of a watch: a line for each change, and an empty one while there are none. */
 final class ListStream {
 
-    private static final long PERIOD_MICROS = 2_000_000;
+    private static final long HEARTBEAT_MICROS = 2_000_000;
 
     private final Link link;
     private final Time time;
-    private final BooleanSupplier open;
-    private final BooleanSupplier speaks;
-    private long wroteAt;
+    private final BooleanSupplier isOpen;
+    private final BooleanSupplier heartbeatsEnabled;
+    private long lastWriteAt;
 
     /**
      * @param open   whether it goes on; once it doesn't, no empty line comes any more
-     * @param speaks whether an empty line that is due comes
+     * @param heartbeatsEnabled whether an empty line that is due comes
      */
-    ListStream(Link link, Time time, BooleanSupplier open, BooleanSupplier speaks) {
+    ListStream(Link link, Time time, BooleanSupplier isOpen, BooleanSupplier heartbeatsEnabled) {
         this.link = link;
         this.time = time;
-        this.open = open;
-        this.speaks = speaks;
+        this.isOpen = isOpen;
+        this.heartbeatsEnabled = heartbeatsEnabled;
     }
 
     /** The version that a call asks to be told from, 0 if it names none. */
-    static long from(String target) {
+    static long fromVersion(String target) {
         String number = target.replaceAll(".*[?&]from=([0-9]{1,18}).*", "$1");
         return number.matches("[0-9]+") ? Long.parseLong(number) : 0;
     }
@@ -38,28 +38,28 @@
         link.write("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
                 .getBytes(StandardCharsets.US_ASCII));
         write(first);
-        beat();
+        scheduleHeartbeat();
     }
 
     void write(byte[] line) {
-        wroteAt = time.now();
-        byte[] head = (Integer.toHexString(line.length) + "\r\n").getBytes(StandardCharsets.US_ASCII);
-        byte[] chunk = new byte[head.length + line.length + 2];
-        System.arraycopy(head, 0, chunk, 0, head.length);
-        System.arraycopy(line, 0, chunk, head.length, line.length);
+        lastWriteAt = time.now();
+        byte[] chunkHeader = (Integer.toHexString(line.length) + "\r\n").getBytes(StandardCharsets.US_ASCII);
+        byte[] chunk = new byte[chunkHeader.length + line.length + 2];
+        System.arraycopy(chunkHeader, 0, chunk, 0, chunkHeader.length);
+        System.arraycopy(line, 0, chunk, chunkHeader.length, line.length);
         chunk[chunk.length - 2] = '\r';
         chunk[chunk.length - 1] = '\n';
         link.write(chunk);
     }
 
     /** Empty lines from now on, until it stops speaking. */
-    void beat() {
-        time.after(PERIOD_MICROS, () -> {
-            if (open.getAsBoolean()) {
-                if (speaks.getAsBoolean() && time.now() - wroteAt >= PERIOD_MICROS) {
+    void scheduleHeartbeat() {
+        time.after(HEARTBEAT_MICROS, () -> {
+            if (isOpen.getAsBoolean()) {
+                if (heartbeatsEnabled.getAsBoolean() && time.now() - lastWriteAt >= HEARTBEAT_MICROS) {
                     write(new byte[] {'\n'});
                 }
-                beat();
+                scheduleHeartbeat();
             }
         });
     }
--- a/emulator/src/main/java/baymoor/emulator/world/Listing.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Listing.java
@@ -22,7 +22,7 @@
 
     /**
      * A listed process; {@code host} is its number in the world, by which its address is found.
-     * {@code sinceMicros}: when it last started, 0 for long ago.
+     * {@code startedAtMicros}: when it last started, 0 for long ago.
      */
     public record Entry(
             String name,
@@ -32,10 +32,10 @@
             int group,
             Status status,
             double weight,
-            long sinceMicros) {
+            long startedAtMicros) {
 
         Entry withStatus(Status newStatus) {
-            return new Entry(name, host, zone, type, group, newStatus, weight, sinceMicros);
+            return new Entry(name, host, zone, type, group, newStatus, weight, startedAtMicros);
         }
     }
 
@@ -54,17 +54,17 @@
         ObjectNode object = JSON.createObjectNode().put("index", index).put("snapshot", snapshot);
         ArrayNode endpoints = object.putArray("endpoints");
         for (Entry e : entries) {
-            InetSocketAddress at = address.apply(e.host);
+            InetSocketAddress socketAddress = address.apply(e.host);
             endpoints
                     .addObject()
                     .put("name", e.name)
-                    .put("address", at.getAddress().getHostAddress() + ":" + at.getPort())
+                    .put("address", socketAddress.getAddress().getHostAddress() + ":" + socketAddress.getPort())
                     .put("zone", e.zone)
                     .put("type", e.type)
                     .put("group", e.group)
                     .put("status", e.status.name().toLowerCase(java.util.Locale.ROOT))
                     .put("weight", e.weight)
-                    .put("since_ms", e.sinceMicros == 0 ? 0 : unixMillis.applyAsLong(e.sinceMicros));
+                    .put("since_ms", e.startedAtMicros == 0 ? 0 : unixMillis.applyAsLong(e.startedAtMicros));
         }
         return object;
     }
