--- a/emulator/src/main/java/baymoor/emulator/world/ProcessorSharingServer.java
+++ b/emulator/src/main/java/baymoor/emulator/world/ProcessorSharingServer.java
@@ -5,17 +5,20 @@
 import java.util.PriorityQueue;
 
 /**
- * Cores shared evenly by the jobs in work (processor sharing, at most one core a job), slots for those, and a waiting
- * room; beyond that it turns away. Too many in work make it less efficient. Work is in microseconds of a core of speed 1.
+ * Simulates a processor-sharing server: running jobs share the cores evenly, with at most one core per job. A limited
+ * number of slots bounds the running jobs and a bounded FIFO queue holds further ones; beyond that, jobs are rejected.
+ * Too many running jobs per core reduce efficiency. Work is in microseconds of a core of speed 1.
  *
- * <p>All jobs in work get on at the same pace, so one sum of attained work serves for all: a job is done when the sum
- * has grown by its work. An arrival or a departure costs the logarithm of the jobs in work, whatever their number.
+ * <p>All running jobs progress at the same rate, so a single attained-work total serves them all: a job completes when
+ * the total has grown by its work. Each arrival or completion is logarithmic in the number of running jobs.
+ *
+ * <p>Not thread-safe: all calls come from the thread of its {@link Time}.
  */
 final class ProcessorSharingServer {
 
-    /** A piece of work. */
+    /** A unit of work, called back when it starts and when it completes. */
     interface Job {
-        /** It comes out of the waiting room into a slot; gives its work, or less than 0 to drop it. */
+        /** Takes a slot; returns the amount of work, or a negative number to drop the job. */
         double begin();
 
         void completed();
@@ -73,18 +76,18 @@
         return waiting.size();
     }
 
-    /** Work done so far. */
+    /** Returns the total work done so far, including that of unfinished jobs. */
     double completedWork() {
         advance();
         return completedWork;
     }
 
-    /** What it can do at its best, work a microsecond, as it is now. */
+    /** Returns the maximum work per microsecond at the current speed factor. */
     double capacity() {
         return cores * speed * speedFactor;
     }
 
-    /** Takes a job, or turns it away. */
+    /** Starts or queues a job; returns false if the queue is full. */
     boolean offer(Job job) {
         if (running.size() < slots) {
             advance();
@@ -99,7 +102,7 @@
         return true;
     }
 
-    /** All its cores run at this share of their speed from now on; 0 stops them. */
+    /** Runs all cores at this share of their speed from now on; 0 suspends them. */
     void setSpeedFactor(double share) {
         if (share != speedFactor) {
             advance();
@@ -108,7 +111,7 @@
         }
     }
 
-    /** Everything in it is gone. */
+    /** Discards all running and queued jobs without completing them. */
     void clear() {
         advance();
         running.clear();
@@ -123,6 +126,7 @@
         }
     }
 
+    /** Returns the work per microsecond that each running job gets. */
     private double ratePerJob() {
         int count = running.size();
         if (count == 0) {
--- a/emulator/src/main/java/baymoor/emulator/world/Router.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Router.java
@@ -28,9 +28,14 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * A cache router as a state machine: it is fed the bytes of its connections and time, and knows no socket. It does what
- * real servers surprise with: a cancel or a time-out stops no work that runs and drops none that waits, a request whose
- * time is up may or may not be begun, an error may have run, and answers may be spoilt on their way out.
+ * Simulates a cache router as a state machine without I/O, driven by the bytes of its connections and by a clock.
+ *
+ * <p>It reproduces behavior of real servers that a balancer has to tolerate: closing a connection neither stops running
+ * requests nor removes queued ones, a request past its deadline may still be started, a request answered with an error
+ * may have taken effect, and answers may be corrupted.
+ *
+ * <p>Not thread-safe: all calls come from the platform's event thread. Times are in microseconds of the platform's clock,
+ * work is in microseconds of a core of speed 1.
  */
 public final class Router {
 
@@ -39,20 +44,21 @@
     private static final long FETCH_LEASE_MICROS = 500_000;
     private static final int MAX_FETCH_LEASES = 10_000;
     private static final int GARBAGE_BYTES = 48;
-    /** Of the budget before a cold router falls over: chance alone must not do it. */
+    /** Factor on the overload budget of a cold router, so that random variation alone does not crash it. */
     private static final double BUDGET_MARGIN = 1.1;
 
     private static final byte[] BUSY = RespWriter.error("BUSY");
     private static final byte[] FAILED = RespWriter.error("ERR failed");
     private static final byte[] NULL_BULK = RespWriter.ascii("$-1\r\n");
 
-    /** What a router is at present. */
+    /** The lifecycle state of a router. */
     public enum State {
         UP,
         DRAINING,
         DOWN
     }
 
+    /** Work received while cold; {@code startKnown}: its balancer had been told of the router's start. */
     private record ColdWork(long at, double work, boolean startKnown) {}
 
     private final String name;
@@ -88,7 +94,7 @@
     private Spoil answerFault;
     private double answerFaultShare;
 
-    /** @param onCrash hears that it fell over under too much work while cold */
+    /** @param onCrash called when the router crashes under overload while cold */
     Router(
             String name,
             int zone,
@@ -127,37 +133,37 @@
         cache = new ObjectCache(kind.memory(), kind.ttlMicros());
     }
 
-    /** Its name, as the inventory lists it. */
+    /** Returns the name under which the inventory lists this router. */
     public String name() {
         return name;
     }
 
-    /** The number of the zone that it stands in. */
+    /** Returns the index of this router's zone. */
     public int zone() {
         return zone;
     }
 
-    /** Its kind: the figures that it shares with others. */
+    /** Returns the parameters that all routers of this kind share. */
     public RouterKind kind() {
         return kind;
     }
 
-    /** Whether it is up, draining or down. */
+    /** Returns the lifecycle state. */
     public State state() {
         return state;
     }
 
-    /** When it last started, 0 for long ago. */
+    /** Returns the time of the last start, or 0 if it was running before the run began. */
     public long startedAt() {
         return startedAt;
     }
 
-    /** Its size as it is registered: what its cores can do. */
+    /** Returns the nominal capacity, without this router's own deviation in speed: work per microsecond. */
     public double ratedCapacity() {
         return kind.cores() * kind.speed();
     }
 
-    /** Work a microsecond that it can do at its best when warm. */
+    /** Returns the capacity when warm: work per microsecond. */
     public double capacity() {
         return kind.cores() * speed;
     }
@@ -170,7 +176,11 @@
         return server.waitingCount();
     }
 
-    /** Its process is up. {@code startedAtMicros} 0: it has run for long and is warm; else it starts cold and empty. */
+    /**
+     * Starts the process.
+     *
+     * @param startedAtMicros time of the start, after which the router is cold and its cache empty; 0 if it is warm
+     */
     public void start(long startedAtMicros) {
         incarnation++;
         state = State.UP;
@@ -186,7 +196,7 @@
         scheduleIdleCheck(incarnation);
     }
 
-    /** Its process is gone, with all that it held. Whoever listens for it stops. */
+    /** Ends the process: loses all state and closes all connections. The caller stops listening on its behalf. */
     public void stop() {
         incarnation++;
         state = State.DOWN;
@@ -205,29 +215,38 @@
         connections.clear();
     }
 
-    /** It finishes what it has and turns away all that is new. */
+    /** Starts draining: finishes accepted requests and rejects new ones. */
     public void drain() {
         state = State.DRAINING;
     }
 
-    /** It takes new requests again. */
+    /** Stops draining and accepts new requests again. */
     public void undrain() {
         state = State.UP;
     }
 
-    /** From now on its work takes so many times as long; 1 for its usual speed. */
+    /** Makes all work take {@code factor} times as long, until the next call; 1 restores the usual speed. */
     public void setSlowdown(double factor) {
         slowdown = factor;
         updateSpeed();
     }
 
-    /** It takes connections and requests and does nothing, or goes on. */
+    /**
+     * Hangs the router, which then accepts connections and requests but makes no progress, or resumes it. Calls nest.
+     *
+     * @param on true to hang, false to undo one earlier call
+     */
     public void hang(boolean on) {
         hangCount += on ? 1 : -1;
         updateSpeed();
     }
 
-    /** From now on so large a share of its answers is spoilt; null for none. */
+    /**
+     * Corrupts a random share of the answers from now on.
+     *
+     * @param fault how answers are corrupted, or null to stop
+     * @param share probability for each answer, from 0 to 1
+     */
     public void injectAnswerFault(Spoil fault, double share) {
         answerFault = fault;
         answerFaultShare = share;
@@ -257,7 +276,7 @@
         });
     }
 
-    /** The share of its capacity that it has at present. */
+    /** Returns the current share of the warm capacity, from the kind's cold share up to 1. */
     public double warmUpFactor() {
         if (warmUpEndsAt <= time.now() && !kind.warmsByWork() || warmUpMicros == 0) {
             return 1;
@@ -270,7 +289,7 @@
         return Math.min(1, kind.coldShare() + (1 - kind.coldShare()) * Math.max(0, part));
     }
 
-    /** Whether it has started lately and does not have its full capacity yet. */
+    /** Returns whether the router has started during the run and is still warming up. */
     public boolean cold() {
         return state != State.DOWN && startedAt > 0 && warmUpFactor() < 1;
     }
@@ -288,7 +307,7 @@
         server.setSpeedFactor(paused || hangCount > 0 ? 0 : warmUpFactor() / slowdown);
     }
 
-    /** An object that was fetched for it. */
+    /** Stores an object that was fetched from the origin on a miss here. */
     void store(String key, long size) {
         if (state != State.DOWN) {
             fetchLeases.remove(key);
@@ -300,7 +319,11 @@
         cache.remove(key);
     }
 
-    /** So large a share of the kept copies goes void. */
+    /**
+     * Invalidates cached objects at random.
+     *
+     * @param share probability for each object, from 0 to 1
+     */
     void flush(double share) {
         cache.removeRandom(share, random);
     }
@@ -319,7 +342,7 @@
         });
     }
 
-    /** A connection has come in; null where it holds as many as it can, or is down. */
+    /** Accepts a connection; returns null if the router is down or at its connection limit. */
     LinkEvents accept(Link link, int balancer) {
         if (state == State.DOWN || connections.size() >= kind.connections()) {
             return null;
@@ -329,7 +352,7 @@
         return c;
     }
 
-    /** Work reached it while cold. Beyond its budget it falls over, and stays down. */
+    /** Counts work received while cold, and crashes the router if the recent work exceeds its overload budget. */
     private void recordColdWork(int balancer, double work) {
         if (!cold()) {
             return;
@@ -352,7 +375,7 @@
         }
     }
 
-    /** An answer that is due on a connection, in the order of its requests. */
+    /** The answer to one request of a connection; answers are written in the order of the requests. */
     private static final class PendingAnswer {
         final String id;
         byte[] answer;
@@ -394,7 +417,7 @@
                             .items().stream().map(w -> ((Resp.Bulk) w).bytes()).toList());
                 }
             } catch (RespException e) {
-                link.close(); // what can't be read can't be answered
+                link.close(); // the stream can't be resynchronized
                 closed();
             }
         }
@@ -459,7 +482,7 @@
             }
             recordColdWork(balancer, work);
             if (ownIncarnation != incarnation) {
-                return; // that was too much
+                return; // the router has crashed
             }
             RequestJob job =
                     new RequestJob(this, pendingAnswer, key, id, profile, read, work, time.now() + timeoutMicros);
@@ -530,7 +553,7 @@
         }
     }
 
-    /** One request in the waiting room or in work. Its connection may be gone; it goes on all the same. */
+    /** A queued or running request, which continues after its connection has closed. */
     private final class RequestJob implements ProcessorSharingServer.Job {
         private final Connection connection;
         private final PendingAnswer pendingAnswer;
@@ -624,10 +647,14 @@
         }
     }
 
-    /** An object that was popular before the run. */
+    /** An object that is in the cache when the run begins. */
     record PrefilledObject(String key, long size) {}
 
-    /** Fills its cache with what was popular before the run, the most popular first in the list. */
+    /**
+     * Fills the cache before the run.
+     *
+     * @param objects the objects, the most recently used first
+     */
     void prefill(List<PrefilledObject> objects) {
         for (int i = objects.size() - 1; i >= 0; i--) {
             cache.put(objects.get(i).key, objects.get(i).size, time.now());
--- a/emulator/src/test/java/baymoor/emulator/world/ProcessorSharingServerTest.java
+++ b/emulator/src/test/java/baymoor/emulator/world/ProcessorSharingServerTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.Test;
 
-/** Shared cores, slots and the waiting room, by cases that can be worked out by hand. */
+/** Checks core sharing, slots and the queue with cases that can be computed by hand. */
 public class ProcessorSharingServerTest {
 
     private final ManualTime time = new ManualTime();
@@ -49,7 +49,8 @@
         time.pass(500);
         server.offer(job("c", 250));
         time.pass(10_000);
-        // Half each for 500 us, then a third each: c is done after 750 more, when a and b have 500 left.
+        // Half a core each for 500 us, then a third each: c completes after 750 us more, when a and b have 500 us of
+        // work left.
         assertEquals(List.of("c@1250", "a@2250", "b@2250"), completions);
     }
 
@@ -86,7 +87,7 @@
             server.offer(job("j", 100));
         }
         time.pass(10_000);
-        // Four on one core with two of them too many: half the speed.
+        // Four jobs on one core, two above the threshold of two, with a penalty of 0.5 each: half the speed.
         assertEquals(List.of("j@800", "j@800", "j@800", "j@800"), completions);
     }
 
