--- a/emulator/src/main/java/baymoor/emulator/world/Catalogue.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Catalogue.java
@@ -9,7 +9,10 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** What is true of a key wherever it is asked for: its size, and the work that it makes in each class. */
+/**
+ * Derives the properties of keys from the scenario and its seed: popularity ranks, object sizes, and the work that a
+ * request for a key makes in each request class. Immutable.
+ */
 public final class Catalogue {
 
     private static final long MIN_OBJECT_BYTES = 64;
@@ -25,14 +28,14 @@
         scenario.classes().forEach(c -> classes.put(c.name(), c));
     }
 
-    /** What a key is, as one who has the origin's data would know it. */
+    /** The object size of a key in bytes, and where its work lies in the range of a class: 0 for least, 1 for most. */
     public record KeyProfile(long size, double workShare) {}
 
     private UniformRandomProvider randomFor(long key) {
         return RandomSource.SPLIT_MIX_64.create(key ^ seed);
     }
 
-    /** The size and work of a key, always the same for one seed. */
+    /** Returns the size and work share of a key, which depend on the key and the seed only. */
     public KeyProfile profile(long key) {
         UniformRandomProvider random = randomFor(key);
         double share = random.nextDouble();
@@ -40,25 +43,31 @@
         return new KeyProfile(Math.max(MIN_OBJECT_BYTES, Math.min(MAX_OBJECT_BYTES, size)), share);
     }
 
-    /** The popular key of a rank (0 the most popular) at a time: by and by new keys take the ranks over. */
+    /**
+     * Returns the key that has a popularity rank at a time. Keys are replaced over time at the scenario's drift rate.
+     *
+     * @param rank   popularity rank, 0 for the most popular key
+     * @param micros time since the start of the run
+     */
     public long key(int rank, long micros) {
+        // Multiples of the golden ratio spread the replacements of the ranks evenly over time.
         double generation = keys.drift() * micros / 1e6 + (rank * 0.6180339887498949) % 1;
         return randomFor(rank * 1_000_003L + (long) Math.floor(generation)).nextLong();
     }
 
-    /** The request class of a name, or null. */
+    /** Returns the request class of a name, or null if there is none. */
     public RequestClass requestClass(String name) {
         return classes.get(name);
     }
 
-    /** Work of a request in microseconds of a core of speed 1. */
+    /** Returns the work of a request in microseconds of a core of speed 1. */
     public double work(RequestClass requestClass, KeyProfile profile) {
         return requestClass.work().least()
                 + profile.workShare()
                         * (requestClass.work().most() - requestClass.work().least());
     }
 
-    /** A key as clients write it: 16 hex digits. */
+    /** Returns a key as it is written in requests: 16 hexadecimal digits. */
     public static String name(long key) {
         return HexFormat.of().toHexDigits(key);
     }
--- a/emulator/src/main/java/baymoor/emulator/world/Fills.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Fills.java
@@ -9,14 +9,16 @@
 import java.util.function.Consumer;
 
 /**
- * What happens behind the balancers' backs: once the origin has answered a read that somebody still waits for, the
- * object is stored at the first two routers that missed for that request; a write voids the copies of its key.
+ * Fills and invalidates the caches of the routers, independently of the balancers: an object that the origin serves is
+ * stored at the first routers that reported a miss for that request, and a write invalidates all copies of its key.
+ * Not thread-safe: all calls come from the platform's event thread.
  */
 final class Fills {
 
     private static final long MISS_RETENTION_MICROS = 10_000_000;
     private static final int MAX_FILLED_ROUTERS = 2;
 
+    /** The routers that reported a miss for a request; {@code cold}: one element, whether any of them was cold. */
     private record Miss(String id, long reportedAt, List<Router> routers, boolean[] cold) {}
 
     private final Time time;
@@ -28,8 +30,9 @@
     private final ArrayDeque<Long> readTimes = new ArrayDeque<>();
 
     /**
-     * @param windowMicros for which reads are remembered
-     * @param invalidateAll      voids the copies of a key, wherever they are
+     * @param delayMicros   delay of each fill and invalidation
+     * @param windowMicros  period over which reads are counted
+     * @param invalidateAll invalidates the copies of a key at all routers
      */
     Fills(Time time, long delayMicros, long windowMicros, Consumer<String> invalidateAll) {
         this.time = time;
@@ -38,7 +41,7 @@
         this.invalidateAll = invalidateAll;
     }
 
-    /** A router has told a miss for a request. */
+    /** Records that a router reported a miss for a request. */
     void recordMiss(String id, Router router, boolean cold) {
         long now = time.now();
         while (!missOrder.isEmpty() && now - missOrder.peek().reportedAt > MISS_RETENTION_MICROS) {
@@ -55,7 +58,7 @@
         miss.cold[0] |= cold;
     }
 
-    /** A read has come to a router. */
+    /** Records that a router received a read. */
     void recordRead() {
         readTimes.add(time.now());
         dropOldReads();
@@ -68,18 +71,19 @@
         }
     }
 
-    /** Reads that came to routers within the window. */
+    /** Returns the number of reads that routers received within the window. */
     int recentReads() {
         dropOldReads();
         return readTimes.size();
     }
 
-    /** Whether this request missed at a router that was cold. */
+    /** Returns whether the request missed at a router that was cold. */
     boolean missedWhileCold(String id) {
         Miss miss = missesById.get(id);
         return miss != null && miss.cold[0];
     }
 
+    /** Stores an object that the origin served at the routers that missed it for this request. */
     void fill(String id, String key, long size) {
         Miss miss = missesById.remove(id);
         if (miss != null) {
@@ -89,6 +93,7 @@
         }
     }
 
+    /** Invalidates all copies of a key that has changed at the origin. */
     void changed(String key) {
         time.after(delayMicros, () -> invalidateAll.accept(key));
     }
--- a/emulator/src/main/java/baymoor/emulator/world/LoadGauge.java
+++ b/emulator/src/main/java/baymoor/emulator/world/LoadGauge.java
@@ -3,10 +3,10 @@
 import java.util.List;
 import java.util.Locale;
 
-/** A router's report of its load: read off now and then, so that it is a little old whenever it is told. */
+/** A router's load report, sampled at intervals and therefore slightly stale when it is read. Not thread-safe. */
 final class LoadGauge {
 
-    /** What is reported, in the words of the settings. */
+    /** Names of the reported fields, as in the balancer's settings. */
     static final List<String> NAMES = List.of("outstanding", "backlog", "utilization");
 
     private static final long REFRESH_MICROS = 100_000;
@@ -19,7 +19,7 @@
         this.slots = slots;
     }
 
-    /** Names and values as they were read off last. */
+    /** Returns the latest sample as names and values; samples again if it is too old. */
     String report(long now, ProcessorSharingServer server) {
         if (now - sampledAt >= REFRESH_MICROS) {
             sampledAt = now;
--- a/emulator/src/main/java/baymoor/emulator/world/ObjectCache.java
+++ b/emulator/src/main/java/baymoor/emulator/world/ObjectCache.java
@@ -8,8 +8,8 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * What a router keeps: objects up to so many bytes, those used longest ago going first, each for a time at the most.
- * The order is exactly that of use, which the replay of a run needs; caches for service approximate it.
+ * A cache with a byte capacity, least-recently-used eviction and a time to live. It keeps exact LRU order, as a library
+ * cache that approximates it would make runs of the same seed differ. Holds sizes only, no values. Not thread-safe.
  */
 final class ObjectCache {
 
@@ -20,13 +20,16 @@
     private final LinkedHashMap<String, CachedObject> objects = new LinkedHashMap<>(16, 0.75f, true);
     private long bytes;
 
-    /** @param ttlMicros microseconds, 0 for as long as there is room */
+    /**
+     * @param capacityBytes total size of the objects
+     * @param ttlMicros     time to live, 0 for none
+     */
     ObjectCache(long capacityBytes, long ttlMicros) {
         this.capacityBytes = capacityBytes;
         this.ttlMicros = ttlMicros;
     }
 
-    /** Whether it holds a key, which counts as a use. */
+    /** Returns whether a key is cached and has not expired, and marks it as used. */
     boolean hit(String key, long now) {
         CachedObject cached = objects.get(key);
         if (cached != null && cached.expiresAt < now) {
@@ -36,6 +39,7 @@
         return cached != null;
     }
 
+    /** Caches an object, evicting others as needed; ignores an object larger than the cache. */
     void put(String key, long size, long now) {
         if (size > capacityBytes) {
             return;
@@ -55,7 +59,7 @@
         bytes -= cached == null ? 0 : cached.bytes;
     }
 
-    /** Voids each object with a chance. */
+    /** Removes each object with the probability {@code share}. */
     void removeRandom(double share, UniformRandomProvider random) {
         for (String key : List.copyOf(objects.keySet())) {
             if (Draw.chance(random, share)) {
--- a/emulator/src/main/java/baymoor/emulator/world/Origin.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Origin.java
@@ -19,9 +19,11 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * The one slow store behind all routers, over HTTP/1.1: {@code GET /KEY} and {@code PUT /KEY}. It counts every effect
- * of a write, drops the repeat of a keyed one within its window, goes on with work that nobody waits for, and stops for
- * some seconds when it was sent too much for too long.
+ * Simulates the origin behind all routers, over HTTP/1.1: {@code GET /KEY} and {@code PUT /KEY}. It counts each applied
+ * write, drops repeated writes with the same idempotency key within a window, completes requests whose connection has
+ * closed, and crashes under sustained overload.
+ *
+ * <p>Not thread-safe: all calls come from the platform's event thread. Times are in microseconds.
  */
 public final class Origin {
 
@@ -53,8 +55,8 @@
     private long receiptCount;
 
     /**
-     * @param coldReadShare share of all reads that is due to routers that are cold, by weights cut by the stated warm-up
-     * @param onCrash    hears that it stops; whoever listens for it closes, and starts it again later
+     * @param coldReadShare returns the share of reads that cold routers get if weights follow current capacities
+     * @param onCrash       called after a crash; the callee stops listening and starts the origin again later
      */
     Origin(
             Scenario scenario,
@@ -84,12 +86,12 @@
         return up;
     }
 
-    /** It serves so many times slower from now on. */
+    /** Makes all requests take {@code factor} times as long, until the next call; 1 restores the usual speed. */
     public void slow(double factor) {
         server.setSpeedFactor(1 / factor);
     }
 
-    /** It is gone, with all that it was doing; what it had carried out stays carried out. */
+    /** Ends the process: drops all requests and closes all connections; applied writes stay applied. */
     public void stop() {
         up = false;
         incarnation++;
@@ -103,11 +105,12 @@
         connections.clear();
     }
 
-    /** Its process is up. */
+    /** Starts the process. */
     public void start() {
         up = true;
     }
 
+    /** Accepts a connection; returns null if the origin is down. */
     LinkEvents accept(Link link, int balancer) {
         if (!up) {
             return null;
@@ -117,6 +120,7 @@
         return c;
     }
 
+    /** Counts an arrival, and crashes the origin if the recent load exceeds its limit. */
     private void recordArrival(boolean cold) {
         long now = time.now();
         recentArrivals.add(new Arrival(now, cold));
@@ -204,7 +208,7 @@
             }
             recordArrival(read && fills.missedWhileCold(id));
             if (ownIncarnation != incarnation) {
-                return; // that was too much
+                return; // the origin has crashed
             }
             if (!server.offer(new RequestJob(this, r.target().substring(1), id, facts, requestClass, read))) {
                 tally.turnedAway();
@@ -222,6 +226,7 @@
         }
     }
 
+    /** A queued or running request, which continues after its connection has closed. */
     private final class RequestJob implements ProcessorSharingServer.Job {
         private final Connection connection;
         private final String key;
--- a/emulator/src/main/java/baymoor/emulator/world/RouterLoad.java
+++ b/emulator/src/main/java/baymoor/emulator/world/RouterLoad.java
@@ -19,8 +19,9 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * One router alone under open-loop load, without a balancer: what its latencies are at a share of its capacity. It runs
- * on any platform, so that the same router can be measured in virtual time and on loopback.
+ * Measures the latencies of a single router under open-loop load at a given utilization, without a balancer. It runs on
+ * any platform, so that virtual time and loopback sockets can be compared. Not thread-safe: all calls come from the
+ * platform's event thread, except that results may be read once {@code onEnd} has been called.
  */
 public final class RouterLoad {
 
@@ -47,7 +48,10 @@
     private boolean ended;
     private long failed;
 
-    /** @param load share of the router's capacity that is asked for */
+    /**
+     * @param load  offered load as a share of the router's capacity
+     * @param onEnd called once, when all requests are finished
+     */
     public RouterLoad(Scenario scenario, Platform platform, Streams streams, double load, Runnable onEnd) {
         this.scenario = scenario;
         this.platform = platform;
@@ -79,7 +83,7 @@
         rate = load * router.capacity() / meanWork;
     }
 
-    /** Starts; on the thread of the platform's time. */
+    /** Starts the router and the load; called on the platform's event thread. */
     public void begin() {
         router.start(0);
         router.prefill(IntStream.range(0, KEY_COUNT)
@@ -95,7 +99,8 @@
     }
 
     private void scheduleNext() {
-        // From arrival to arrival as drawn, not from when the timer ran: or each delay of a timer would thin the load.
+        // Counted from the drawn arrival times, not from when the timer fired, so that late timers don't reduce the
+        // load.
         nextArrivalAt += Math.max(1, (long) Math.ceil(Draw.exponential(random) / rate));
         time.after(nextArrivalAt - time.now(), () -> {
             if (nextArrivalAt < loadEndsAt) {
@@ -120,12 +125,12 @@
         }
     }
 
-    /** Latencies of the answered requests in microseconds. */
+    /** Returns the latencies of successful requests after the warm-up, in microseconds. */
     public Histogram latencies() {
         return latencies;
     }
 
-    /** Requests that were turned away or broken off. */
+    /** Returns the number of requests that were rejected, failed or lost with their connection. */
     public long failed() {
         return failed;
     }
@@ -185,7 +190,7 @@
 
         @Override
         public void written() {
-            // The answer tells.
+            // Completion is signalled by the answer.
         }
 
         @Override
--- a/emulator/src/main/java/baymoor/emulator/world/Routers.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Routers.java
@@ -19,11 +19,15 @@
 import java.util.function.Consumer;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** The routers of a world: one at each place, its entry in the inventory, and the scripted events that befall them. */
+/**
+ * Manages the routers of a scenario: one at each listening place with its inventory entry, and the scripted events that
+ * affect them. Not thread-safe: all calls come from the platform's event thread.
+ */
 final class Routers {
 
+    /** Largest relative error of a listed weight. */
     private static final double WEIGHT_ERROR = 0.1;
-    /** Over all routers: a large fleet would spend minutes and memory on what most of it is never asked for. */
+    /** Limit over all routers, which bounds start-up time and memory of large fleets. */
     private static final int MAX_PREFILLED_OBJECTS = 400_000;
 
     private final Scenario scenario;
@@ -41,7 +45,7 @@
     private final List<Slot> slots = new ArrayList<>();
     private int replacements;
 
-    /** A place for a router, and who is there now. */
+    /** A listening place and its current router. */
     private static final class Slot {
         final int place;
         Router router;
@@ -53,8 +57,8 @@
     }
 
     /**
-     * @param onEvent    hears of events: what happened, and to which router
-     * @param changed hears of changed entries, and by what sign discovery can notice them
+     * @param onEvent receives each event as its name and the name of the router
+     * @param onEntryChange receives changed entries, with how discovery can notice the change
      */
     Routers(
             Scenario scenario,
@@ -108,17 +112,21 @@
                 this::crashed);
     }
 
-    /** How many places there are, from 0 on. */
+    /** Returns the number of places; they are numbered from 0. */
     int count() {
         return slots.size();
     }
 
-    /** The name of the router that is at a place, or was last. */
+    /** Returns the name of the current or latest router at a place. */
     String nameAt(int place) {
         return slots.get(place).router.name();
     }
 
-    /** Lets all of them listen, with what they would hold in service; {@code listed} gets their entries. */
+    /**
+     * Starts all routers warm, with prefilled caches if the scenario says so.
+     *
+     * @param onListed receives the inventory entry of each router
+     */
     void open(Consumer<Entry> onListed) {
         List<Router.PrefilledObject> prefilled = new ArrayList<>();
         int objectCount = Math.min(scenario.keys().count(), MAX_PREFILLED_OBJECTS / Math.max(1, slots.size()));
@@ -136,12 +144,16 @@
         }
     }
 
-    /** The copies of a key are void, wherever they are. */
+    /** Invalidates all cached copies of a key. */
     void voided(String key) {
         slots.forEach(slot -> slot.router.invalidate(key));
     }
 
-    /** So large a share of the copies at each router goes void. */
+    /**
+     * Invalidates cached objects of each router at random.
+     *
+     * @param share probability for each object, from 0 to 1
+     */
     void flush(double share) {
         slots.forEach(slot -> slot.router.flush(share));
     }
@@ -165,7 +177,7 @@
         platform.listen(slot.place, r.name(), r.zone(), r::accept);
     }
 
-    /** Of all reads, those due to cold routers when their weights are cut by what they can do at present. */
+    /** Returns the share of reads that cold routers get if weights follow current capacities. */
     double coldDue() {
         double coldWeight = 0;
         double totalWeight = 0;
@@ -190,7 +202,7 @@
         onEntryChange.accept(slot.entry.withStatus(Status.TERMINATED), silently ? Sign.SILENT : Sign.ENDED);
     }
 
-    /** So many of the routers that run, chosen by the seed, within a zone where one is named. */
+    /** Chooses as many running routers as the event asks for at random, within its zone if it names one. */
     private List<Slot> chooseRunning(ScriptedEvent event) {
         List<Slot> running = new ArrayList<>(slots.stream()
                 .filter(s -> s.router.state() == Router.State.UP
@@ -201,7 +213,7 @@
         return running.subList(0, Math.min(event.count(), running.size()));
     }
 
-    /** Lets an event befall as many routers as it names. */
+    /** Applies an event to as many running routers as it asks for. */
     void befall(ScriptedEvent event) {
         chooseRunning(event).forEach(slot -> apply(event, slot));
     }
@@ -244,7 +256,7 @@
                 r.injectAnswerFault(event.spoil(), event.share());
                 time.after(event.forMicros(), () -> r.injectAnswerFault(null, 0));
             }
-            default -> throw new IllegalStateException("not an act on a router: " + event.what());
+            default -> throw new IllegalStateException("not a router event: " + event.what());
         }
     }
 
