--- a/emulator/src/main/java/baymoor/emulator/world/Agent.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Agent.java
@@ -15,33 +15,38 @@
 import java.util.TreeMap;
 
 /**
- * The agent on a balancer's own machine where lists are pushed: it answers at once and at no cost with what it was sent,
- * and is silent while discovery is down or can't reach it. Whatever it holds counts as told to its balancer.
+ * Simulates the discovery agent on a balancer's machine, for scenarios in which discovery pushes its list. It answers
+ * from its local copy without delay, and holds back all answers and heartbeats while discovery is down or unreachable.
+ * Each change that it receives counts as delivered to its balancer.
+ *
+ * <p>Not thread-safe: all calls come from the platform's event thread.
  */
 final class Agent {
 
-    /** Discovery as an agent sees it. */
+    /** The discovery service from which an agent takes its list. */
     interface Source {
-        /** Whether discovery is up and reaches this agent. */
+        /** Returns whether discovery is up and can reach this agent. */
         boolean reachable();
 
+        /** Returns the current version of the list. */
         long index();
 
         Collection<Entry> listed();
 
-        /** How long a change takes on its way here. */
+        /** Returns a random delay, in microseconds, after which a change arrives at the agent. */
         long pushDelayMicros();
 
-        /** A list in discovery's form, as the balancer beside reaches its hosts; what it names counts as told. */
+        /** Encodes entries with the addresses that this agent's balancer uses, and records them as delivered to it. */
         byte[] encode(long version, boolean snapshot, Collection<Entry> entries);
 
+        /** Records that entries count as delivered to this agent's balancer. */
         void recordDelivered(Collection<Entry> entries);
     }
 
     private final Source source;
     private final Time time;
     private final Map<String, Entry> entries = new LinkedHashMap<>();
-    /** What changed, by the version at which it came here. */
+    /** The changes that arrived with each version of the list. */
     private final TreeMap<Long, List<Entry>> changesByVersion = new TreeMap<>();
 
     private final Set<Connection> watches = new LinkedHashSet<>();
@@ -63,7 +68,7 @@
         return List.copyOf(entries.values());
     }
 
-    /** Discovery has something to tell, or is back: it arrives here some time later. */
+    /** Schedules an update from discovery after the push delay, unless one is scheduled already. */
     void scheduleUpdate() {
         if (!updateScheduled) {
             updateScheduled = true;
@@ -82,7 +87,7 @@
         }
     }
 
-    /** Takes over what discovery lists now, and gives what is new of it. */
+    /** Replaces the local copy by discovery's current list; returns the changed entries, removed ones as terminated. */
     private List<Entry> refresh() {
         List<Entry> changedEntries = new ArrayList<>();
         Map<String, Entry> listed = new LinkedHashMap<>();
--- a/emulator/src/main/java/baymoor/emulator/world/DiscoveryService.java
+++ b/emulator/src/main/java/baymoor/emulator/world/DiscoveryService.java
@@ -23,28 +23,31 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Discovery: a list that is seconds late, asked for in whole or watched. Calls are worked off one after another and
- * fail when they have waited too long; when it is down, watches end and nothing answers.
+ * Simulates the discovery service: an eventually consistent list of processes, which balancers fetch or watch. Calls
+ * are served one at a time and fail if they would wait too long; while the service is down, watches end and no call
+ * succeeds. It also tells the judge when a change counts as delivered to a balancer.
+ *
+ * <p>Not thread-safe: all calls come from the platform's event thread. Times are in microseconds.
  */
 public final class DiscoveryService {
 
     private static final int MAX_HISTORY = 1000;
     /**
-     * A change counts as told so long after discovery had it and could be reached, whether it arrived or not; so does what a
-     * watch that has fallen silent misses, from when it fell silent.
+     * Time after which a change counts as delivered, counted from when it was listed and the service reachable. For a
+     * balancer that is cut off, counted from the start of the partition.
      */
     private static final long DELIVERY_DEADLINE_MICROS = 6_000_000;
 
     private static final byte[] EMPTY_BODY = new byte[0];
 
-    /** The address of a host as one balancer reaches it, and the Unix time of a moment of the world's clock. */
+    /** Resolves the addresses of hosts for a balancer, and converts the platform's time to Unix time. */
     public interface Reach {
         InetSocketAddress address(int host, int balancer);
 
         long unixMillis(long micros);
     }
 
-    /** Hears how each call ended. */
+    /** Receives the outcome of each call: one of the event names below. */
     @FunctionalInterface
     interface CallListener {
         void callEnded(int balancer, String outcome);
@@ -61,16 +64,18 @@
     private final Reach reach;
     private final IntToLongFunction partitionedSince;
     private final CallListener callListener;
-    /** What is listed, and the last change of each name by its version, those that ended among them. */
+    /** The current entries by name. */
     private final Map<String, Entry> listed = new LinkedHashMap<>();
 
+    /** The latest change of each name by its version, terminated ones included. */
     private final TreeMap<Long, Entry> changeHistory = new TreeMap<>();
+
     private final Map<String, Long> lastChangeVersion = new LinkedHashMap<>();
     private final Set<Watch> watches = new LinkedHashSet<>();
     private final Set<Connection> connections = new LinkedHashSet<>();
-    /** Where lists are pushed: the agent beside each balancer. */
+    /** The agent of each balancer, if the list is pushed. */
     private final Map<Integer, Agent> agents = new LinkedHashMap<>();
-    /** Number of the newest change of each name that is listed. */
+    /** Sequence number of the newest change of each name that has been listed. */
     private final Map<String, Long> newestChange = new LinkedHashMap<>();
 
     private long changeCount;
@@ -79,16 +84,15 @@
     private double slowdown = 1;
     private boolean up = true;
     private long upSince;
-    /** Balancers that have been started. */
     private final Set<Integer> startedBalancers = new LinkedHashSet<>();
-    /** Changes that count as told to all by now. */
+    /** Changes that count as delivered to all balancers. */
     private final Map<String, Entry> deliveredToAll = new LinkedHashMap<>();
-    /** The list as each balancer was last written it, where a new process starts with that. */
+    /** The list last sent to each balancer, if a new process starts with that. */
     private final Map<Integer, WrittenList> lastWritten = new LinkedHashMap<>();
 
     private record WrittenList(long index, Collection<Entry> entries) {}
 
-    /** @param partitionedSince since when a balancer is cut off from the service, -1 if it is not */
+    /** @param partitionedSince returns since when a balancer is cut off from the service, or -1 if it is not */
     DiscoveryService(
             Scenario.Discovery spec,
             Time time,
@@ -106,19 +110,19 @@
         this.reach = reach;
     }
 
-    /** How discovery came to know of a change. */
+    /** How discovery can notice a change, which determines how long it takes. */
     enum Sign {
         ENDED,
         SILENT,
         ADDED
     }
 
-    /** Lists a process from the start of the run on. */
+    /** Lists a process before the run begins. */
     void begin(Entry entry) {
         listed.put(entry.name(), entry);
     }
 
-    /** Something has changed; the list shows it once discovery has noticed. */
+    /** Reports a change, which is listed after the delay with which discovery notices it. */
     void changed(Entry entry, Sign sign) {
         long noticeMicros = Draw.within(
                 random,
@@ -129,7 +133,7 @@
                 });
         long changeNumber = ++changeCount;
         time.after(noticeMicros, () -> {
-            // What was noticed late may have been overtaken by what came after it.
+            // A later change of the same name may have been noticed first.
             if (newestChange.getOrDefault(entry.name(), 0L) < changeNumber) {
                 newestChange.put(entry.name(), changeNumber);
                 list(entry);
@@ -161,10 +165,10 @@
         }
     }
 
-    /** A change is long enough ago, unless discovery could not be reached since. */
+    /** Counts a change as delivered to all reachable balancers, once the service has been up for the deadline. */
     private void assumeDelivered(Entry entry, long listedVersion) {
         if (lastChangeVersion.get(entry.name()) != listedVersion) {
-            return; // a later change of it has a time of its own
+            return; // superseded by a later change, which has its own deadline
         }
         if (!up || time.now() - upSince < DELIVERY_DEADLINE_MICROS) {
             time.after(
@@ -180,20 +184,22 @@
         }
     }
 
-    /** What changed after a version. */
+    /** Returns the changes after a version. */
     private List<Entry> changesSince(long version) {
         return List.copyOf(changeHistory.tailMap(version, false).values());
     }
 
-    /** The list as it is shown now. */
+    /** Returns the current entries. */
     Collection<Entry> listed() {
         return List.copyOf(listed.values());
     }
 
+    /** Makes all calls take {@code factor} times as long, until the next call; 1 restores the usual speed. */
     public void slow(double factor) {
         slowdown = factor;
     }
 
+    /** Takes the service down: closes all connections and ends all watches. */
     public void down() {
         up = false;
         for (Connection c : List.copyOf(connections)) {
@@ -204,6 +210,7 @@
         watches.clear();
     }
 
+    /** Brings the service up again, with an empty queue of calls. */
     public void up() {
         up = true;
         upSince = time.now();
@@ -211,7 +218,11 @@
         push();
     }
 
-    /** An agent beside a balancer, to which changes are pushed; it hears nothing while {@code reachable} says so. */
+    /**
+     * Returns the agent of a balancer, to which changes are pushed.
+     *
+     * @param reachable returns whether the service can reach the agent at present
+     */
     Agent agent(int balancer, BooleanSupplier reachable) {
         return agents.computeIfAbsent(
                 balancer,
@@ -250,11 +261,12 @@
                         time));
     }
 
-    /** Sends all agents what they have not heard yet; those that can't be reached go without. */
+    /** Schedules an update of all agents; those that are unreachable by then don't receive it. */
     void push() {
         agents.values().forEach(Agent::scheduleUpdate);
     }
 
+    /** Accepts a connection; returns null if the service is down and does not answer errors. */
     LinkEvents accept(Link link, int balancer) {
         if (!up && !spec.busyWhenDown()) {
             return null;
@@ -264,7 +276,7 @@
         return c;
     }
 
-    /** A balancer's process starts with the list as it is now; of what its forerunner was told it knows nothing. */
+    /** Records that a new balancer process knows the list that it starts with, and nothing its predecessor was sent. */
     void given(int balancer) {
         judge.started(balancer);
         startedBalancers.add(balancer);
@@ -272,13 +284,14 @@
         recordDelivered(balancer, deliveredToAll.values());
     }
 
-    /** The list as a balancer last held it: the agent's, where there is one. */
+    /** Returns the list that a new process of a balancer starts with: that of its agent, if there is one. */
     Collection<Entry> listedFor(int balancer) {
         Agent agent = agents.get(balancer);
         WrittenList written = lastWritten.get(balancer);
         return agent != null ? agent.entries() : written != null ? written.entries() : listed();
     }
 
+    /** Returns the version of the list that a new process of a balancer starts with. */
     long indexFor(int balancer) {
         Agent agent = agents.get(balancer);
         WrittenList written = lastWritten.get(balancer);
@@ -291,6 +304,7 @@
         }
     }
 
+    /** Encodes entries for a balancer, and records them as delivered; after the deadline, if it is cut off. */
     private byte[] encode(long version, boolean snapshot, Collection<Entry> entries, int balancer) {
         long isolatedSince = partitionedSince.applyAsLong(balancer);
         if (isolatedSince < 0) {
@@ -299,7 +313,7 @@
                 lastWritten.put(balancer, new WrittenList(version, listed()));
             }
         } else {
-            // Seen: what was written into a connection that a cut had silenced counted as told, and the rule broke.
+            // Data written during a partition does not arrive: the entries count as delivered after the deadline only.
             time.after(
                     Math.max(0, isolatedSince + DELIVERY_DEADLINE_MICROS - time.now()),
                     () -> recordDelivered(
@@ -353,7 +367,7 @@
             }
         }
 
-        /** One after another: a call begins when those before it are done. */
+        /** Queues a call behind earlier ones, or rejects it if it would exceed the time-out. */
         private void call(String target) {
             if (!up) {
                 time.after(spec.atOnce() ? 0 : spec.timeoutMicros(), this::rejectCall);
@@ -406,7 +420,7 @@
         }
     }
 
-    /** One balancer's watch: changes some time after they are listed, and an empty line while there are none. */
+    /** A watch: sends changes in batches some time after they are listed, and heartbeats in between. */
     private final class Watch {
         private final Connection connection;
         private final ListStream stream;
--- a/emulator/src/main/java/baymoor/emulator/world/Fleet.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Fleet.java
@@ -1,32 +1,40 @@
 package baymoor.emulator.world;
 
-/** The balancers of a world, by their numbers. */
+/** Controls the balancer processes of a run, which are numbered from 0. */
 public interface Fleet {
 
-    /** Hears of balancers that come and go. */
+    /** Receives the lifecycle events of balancer processes. */
     interface Watcher {
-        /** It listens from now on. */
+        /** The balancer has started to listen. */
         void ready(int balancer);
 
-        /** It was told to end (SIGTERM), and from then on closes its listener and its connections. */
+        /** The balancer received SIGTERM, and closes its listener and its connections from now on. */
         default void ending(int balancer) {}
 
-        /** Its process has ended. */
+        /** The balancer's process has exited. */
         void ended(int balancer);
     }
 
-    /** How many balancers there are. */
+    /** Returns the number of balancers. */
     int count();
 
-    /** Whether it runs and listens. */
+    /** Returns whether the balancer is running and listening. */
     boolean up(int balancer);
 
-    /** Ends it, by SIGTERM where {@code planned}, else at once, and starts it again. */
+    /**
+     * Ends a balancer and starts it again.
+     *
+     * @param planned whether it is ended by SIGTERM and may shut down gracefully, or killed
+     */
     void restart(int balancer, boolean planned);
 
-    /** Ends it at once, for so long; {@code silently}: with its machine. */
+    /**
+     * Kills a balancer and starts it again after {@code forMicros}.
+     *
+     * @param silently whether it vanishes with its machine, so that connections are not closed
+     */
     void kill(int balancer, long forMicros, boolean silently);
 
-    /** Its process does nothing for so long. */
+    /** Stops a balancer's process from making progress for {@code forMicros}. */
     void stall(int balancer, long forMicros);
 }
--- a/emulator/src/main/java/baymoor/emulator/world/ListStream.java
+++ b/emulator/src/main/java/baymoor/emulator/world/ListStream.java
@@ -5,7 +5,10 @@
 import java.nio.charset.StandardCharsets;
 import java.util.function.BooleanSupplier;
 
-/** The chunked answer of a watch: a line for each change, and an empty one while there are none. */
+/**
+ * The chunked HTTP response of a watch: a line of JSON for each batch of changes, and an empty line as a heartbeat
+ * while there are none. Not thread-safe: all calls come from the thread of its {@link Time}.
+ */
 final class ListStream {
 
     private static final long HEARTBEAT_MICROS = 2_000_000;
@@ -17,8 +20,8 @@
     private long lastWriteAt;
 
     /**
-     * @param open   whether it goes on; once it doesn't, no empty line comes any more
-     * @param heartbeatsEnabled whether an empty line that is due comes
+     * @param isOpen            whether the watch is open; heartbeats stop for good once it is not
+     * @param heartbeatsEnabled whether heartbeats are sent at present
      */
     ListStream(Link link, Time time, BooleanSupplier isOpen, BooleanSupplier heartbeatsEnabled) {
         this.link = link;
@@ -27,13 +30,13 @@
         this.heartbeatsEnabled = heartbeatsEnabled;
     }
 
-    /** The version that a call asks to be told from, 0 if it names none. */
+    /** Returns the version after which a call asks for changes, or 0 if it names none. */
     static long fromVersion(String target) {
         String number = target.replaceAll(".*[?&]from=([0-9]{1,18}).*", "$1");
         return number.matches("[0-9]+") ? Long.parseLong(number) : 0;
     }
 
-    /** Begins with a first line; empty ones follow by themselves. */
+    /** Writes the response header and the first line, and starts the heartbeats. */
     void open(byte[] first) {
         link.write("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
                 .getBytes(StandardCharsets.US_ASCII));
@@ -41,6 +44,7 @@
         scheduleHeartbeat();
     }
 
+    /** Writes a line as one chunk. */
     void write(byte[] line) {
         lastWriteAt = time.now();
         byte[] chunkHeader = (Integer.toHexString(line.length) + "\r\n").getBytes(StandardCharsets.US_ASCII);
@@ -52,7 +56,7 @@
         link.write(chunk);
     }
 
-    /** Empty lines from now on, until it stops speaking. */
+    /** Schedules heartbeats until the watch ends. */
     void scheduleHeartbeat() {
         time.after(HEARTBEAT_MICROS, () -> {
             if (isOpen.getAsBoolean()) {
--- a/emulator/src/main/java/baymoor/emulator/world/Listing.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Listing.java
@@ -8,12 +8,12 @@
 import java.util.function.IntFunction;
 import java.util.function.LongUnaryOperator;
 
-/** Discovery's list in its own form. */
+/** Entries of the discovery service and their JSON encoding. Stateless. */
 public final class Listing {
 
     static final ObjectMapper JSON = new ObjectMapper();
 
-    /** What a listed process does. */
+    /** The lifecycle status of a listed process, written in lower case. */
     public enum Status {
         IN_SERVICE,
         TERMINATING,
@@ -21,8 +21,10 @@
     }
 
     /**
-     * A listed process; {@code host} is its number in the world, by which its address is found.
-     * {@code startedAtMicros}: when it last started, 0 for long ago.
+     * A listed process.
+     *
+     * @param host            number of the place at which it listens, from which its address is resolved
+     * @param startedAtMicros time of its last start, 0 if it was running before the run began
      */
     public record Entry(
             String name,
@@ -42,8 +44,12 @@
     private Listing() {}
 
     /**
-     * @param address    of a host by its number, as one balancer reaches it
-     * @param unixMillis of a moment of the world's clock
+     * Encodes a list or a batch of changes.
+     *
+     * @param index      version of the list
+     * @param snapshot   whether the entries are the whole list
+     * @param address    resolves the address of a host by its number, as one balancer reaches it
+     * @param unixMillis converts microseconds of the platform's clock to Unix time in milliseconds
      */
     public static ObjectNode object(
             long index,
--- a/emulator/src/test/java/baymoor/emulator/world/HostsTest.java
+++ b/emulator/src/test/java/baymoor/emulator/world/HostsTest.java
@@ -18,7 +18,7 @@
 import java.util.List;
 import org.junit.Test;
 
-/** Routers and the origin by the bytes of their connections. */
+/** Checks the simulated routers and origin by the bytes of their connections. */
 public class HostsTest {
 
     private static final String KEY = "00000000000000aa";
@@ -32,7 +32,7 @@
     private Fills fills;
     private Router router;
 
-    /** A connection to a host: what it wrote, and whether it closed. */
+    /** A client connection to a host, which records what the host writes and whether it closes. */
     private static final class Client extends RecordingLink {
         LinkEvents host;
 
@@ -158,7 +158,7 @@
         assertEquals(1, router.runningCount());
         assertEquals(1, router.waitingCount());
         time.pass(500_000);
-        assertEquals("both ran for nobody", 2, tally.wastedRuns());
+        assertEquals("both requests completed after their connections closed", 2, tally.wastedRuns());
         assertEquals("", first.takeOutput());
     }
 
@@ -207,7 +207,7 @@
         router.stop();
         router.start(time.now());
         Client client = client();
-        // Its budget is three times a tenth of a core for 3 s, some 1.0 s of work; a miss costs 1 ms.
+        // The overload budget is three times a tenth of a core over 3 s, about 1.0 s of work; a miss costs 1 ms.
         for (int i = 0; i < 900; i++) {
             client.send(get(KEY, "r" + i, 900));
         }
@@ -249,7 +249,7 @@
         assertTrue(client.takeOutput().startsWith("HTTP/1.1 200 OK\r\n"));
         client.send(put("w2", ",k=77"));
         time.pass(150_000);
-        assertTrue("the repeat is answered all the same", client.takeOutput().contains("r " + KEY + " w2"));
+        assertTrue("the repeated write is answered too", client.takeOutput().contains("r " + KEY + " w2"));
         assertEquals(1, tally.writes());
         assertEquals(1, tally.repeatsDropped());
         time.pass(25_000_000);
