--- a/emulator/src/test/java/baymoor/emulator/world/HostsTest.java
+++ b/emulator/src/test/java/baymoor/emulator/world/HostsTest.java
@@ -47,7 +47,7 @@
         }
     }
 
-    private Scenario createRouter(String extra) throws BadScenario {
+    private Scenario setUpHosts(String extraSettings) throws BadScenario {
         Scenario scenario = ScenarioReader.parse("""
                 [origin]
                 capacity = "10/s"
@@ -70,7 +70,7 @@
                 handshake = "0ms"
                 cold_share = "10%"
                 cold = "10s"
-                """ + extra, "hosts");
+                """ + extraSettings, "hosts");
         judge = new Judge(time::now, scenario.figures(), 0, b -> {});
         catalogue = new Catalogue(scenario, 1);
         fills = new Fills(time, 100, scenario.origin().fallMicros(), key -> router.invalidate(key));
@@ -105,7 +105,7 @@
 
     @Test
     public void reportsMissThenPendingThenHitAndMissesAfterInvalidation() throws Exception {
-        createRouter("");
+        setUpHosts("");
         Client client = client();
         client.send(get(KEY, "r1", 900));
         time.pass(2_000);
@@ -128,7 +128,7 @@
 
     @Test
     public void reportsItsLoadOnlyWhenReportsAreEnabled() throws Exception {
-        createRouter("[rules]\nreports = \"inline\"\n");
+        setUpHosts("[rules]\nreports = \"inline\"\n");
         Client client = client();
         client.send(get(KEY, "r1", 900));
         time.pass(2_000);
@@ -136,7 +136,7 @@
         assertEquals("*3\r\n$-1\r\n$4\r\nmiss\r\n$" + text.length() + "\r\n" + text + "\r\n", client.takeOutput());
         client.send("*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n");
         assertEquals("$" + text.length() + "\r\n" + text + "\r\n", client.takeOutput());
-        createRouter("");
+        setUpHosts("");
         client = client();
         client.send("*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n");
         assertEquals("-NOPERM\r\n", client.takeOutput());
@@ -144,7 +144,7 @@
 
     @Test
     public void rejectsBeyondSlotsAndQueueAndRunsCancelledRequestsToTheEnd() throws Exception {
-        createRouter("");
+        setUpHosts("");
         router.store(KEY, 100);
         Client first = client();
         Client second = client();
@@ -165,7 +165,7 @@
     @Test
     public void startsOrDropsRequestsThatExpireInTheQueueAsConfigured() throws Exception {
         for (String expired : new String[] {"begin", "drop"}) {
-            createRouter("expired = \"" + expired + "\"\n");
+            setUpHosts("expired = \"" + expired + "\"\n");
             router.store(KEY, 100);
             Client first = client();
             Client second = client();
@@ -178,7 +178,7 @@
 
     @Test
     public void answersPipelinedRequestsInOrder() throws Exception {
-        createRouter("");
+        setUpHosts("");
         router.store(KEY, 100);
         Client client = client();
         client.send(get(KEY, "r1", 900) + "*1\r\n$4\r\nPING\r\n");
@@ -189,7 +189,7 @@
 
     @Test
     public void startsColdAndWarmsUpWithTime() throws Exception {
-        createRouter("");
+        setUpHosts("");
         router.stop();
         assertNull(router.accept(new Client(), 0));
         router.start(time.now());
@@ -203,7 +203,7 @@
 
     @Test
     public void crashesUnderOverloadWhileCold() throws Exception {
-        createRouter("");
+        setUpHosts("");
         router.stop();
         router.start(time.now());
         Client client = client();
@@ -234,14 +234,14 @@
                 () -> originCrashes.add("fell"));
     }
 
-    private static String put(String id, String extra) {
+    private static String put(String id, String extraFacts) {
         return "PUT /" + KEY + " HTTP/1.1\r\nHost: o\r\nX-Correlation-Id: " + id
-                + "\r\nX-Facts: c=parcel-watch,t=x,d=900" + extra + "\r\nContent-Length: 3\r\n\r\nabc";
+                + "\r\nX-Facts: c=parcel-watch,t=x,d=900" + extraFacts + "\r\nContent-Length: 3\r\n\r\nabc";
     }
 
     @Test
     public void originDropsRepeatedKeyedWritesWithinTheirWindow() throws Exception {
-        Origin origin = origin(createRouter(""));
+        Origin origin = origin(setUpHosts(""));
         Client client = new Client();
         client.host = origin.accept(client, 0);
         client.send(put("w1", ",k=77"));
@@ -260,7 +260,7 @@
 
     @Test
     public void originRejectsBeyondSlotsAndQueueAndMarksRequestsUnprocessed() throws Exception {
-        Origin origin = origin(createRouter(""));
+        Origin origin = origin(setUpHosts(""));
         Client[] clients = new Client[3];
         for (int i = 0; i < 3; i++) {
             clients[i] = new Client();
@@ -275,7 +275,7 @@
 
     @Test
     public void originCrashesUnderSustainedOverload() throws Exception {
-        Origin origin = origin(createRouter(""));
+        Origin origin = origin(setUpHosts(""));
         Client client = new Client();
         client.host = origin.accept(client, 0);
         for (int i = 0; i < 25; i++) {
