--- a/emulator/src/main/java/baymoor/emulator/world/Agent.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Agent.java
@@ -31,6 +31,7 @@
         /** Returns the current version of the list. */
         long index();
 
+        /** Returns the current entries. */
         Collection<Entry> listed();
 
         /** Returns a random delay, in microseconds, after which a change arrives at the agent. */
--- a/emulator/src/main/java/baymoor/emulator/world/Catalogue.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Catalogue.java
@@ -47,7 +47,7 @@
      * Returns the key that has a popularity rank at a time. Keys are replaced over time at the scenario's drift rate.
      *
      * @param rank   popularity rank, 0 for the most popular key
-     * @param micros time since the start of the run
+     * @param micros time in microseconds, relative to the time of the initial ranks
      */
     public long key(int rank, long micros) {
         // Multiples of the golden ratio spread the replacements of the ranks evenly over time.
--- a/emulator/src/main/java/baymoor/emulator/world/DiscoveryService.java
+++ b/emulator/src/main/java/baymoor/emulator/world/DiscoveryService.java
@@ -42,8 +42,10 @@
 
     /** Resolves the addresses of hosts for a balancer, and converts the platform's time to Unix time. */
     public interface Reach {
+        /** Returns the address of a host as a balancer reaches it. */
         InetSocketAddress address(int host, int balancer);
 
+        /** Converts a time of the platform's clock to Unix time in milliseconds. */
         long unixMillis(long micros);
     }
 
@@ -90,6 +92,7 @@
     /** The list last sent to each balancer, if a new process starts with that. */
     private final Map<Integer, WrittenList> lastWritten = new LinkedHashMap<>();
 
+    /** A list as it was sent, with its version. */
     private record WrittenList(long index, Collection<Entry> entries) {}
 
     /** @param partitionedSince returns since when a balancer is cut off from the service, or -1 if it is not */
--- a/emulator/src/main/java/baymoor/emulator/world/Origin.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Origin.java
@@ -31,6 +31,7 @@
     private static final byte[] EMPTY_BODY = new byte[0];
     private static final String UNPROCESSED_HEADER = "X-Unprocessed: 1\r\n";
 
+    /** A recent request; {@code cold}: whether it is a read that missed at a cold router. */
     private record Arrival(long at, boolean cold) {}
 
     private final Scenario.Origin spec;
@@ -140,6 +141,7 @@
         }
     }
 
+    /** A connection of a balancer, whose requests are processed one at a time. */
     private final class Connection extends Conversation {
         private final Link link;
         private final int balancer;
@@ -282,6 +284,7 @@
             connection.answer(200, "OK", "", value);
         }
 
+        /** Returns the key as a number; a key that is not hexadecimal is hashed. */
         private long keyNumber() {
             try {
                 return Long.parseUnsignedLong(key, 16);
--- a/emulator/src/main/java/baymoor/emulator/world/Router.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Router.java
@@ -34,8 +34,8 @@
  * requests nor removes queued ones, a request past its deadline may still be started, a request answered with an error
  * may have taken effect, and answers may be corrupted.
  *
- * <p>Not thread-safe: all calls come from the platform's event thread. Times are in microseconds of the platform's clock,
- * work is in microseconds of a core of speed 1.
+ * <p>Not thread-safe: all calls come from the platform's event thread. Times are in microseconds of the platform's
+ * clock, work is in microseconds of a core of speed 1.
  */
 public final class Router {
 
@@ -252,6 +252,7 @@
         answerFaultShare = share;
     }
 
+    /** Stops all work for a while, as a garbage collection pause does. */
     void pause(long micros) {
         int ownIncarnation = incarnation;
         paused = true;
@@ -315,6 +316,7 @@
         }
     }
 
+    /** Removes an object from the cache because it has changed at the origin. */
     void invalidate(String key) {
         cache.remove(key);
     }
@@ -386,6 +388,7 @@
         }
     }
 
+    /** A connection of a balancer, over which requests may be pipelined. */
     private final class Connection extends Conversation {
         private final Link link;
         private final int balancer;
--- a/emulator/src/main/java/baymoor/emulator/world/RouterLoad.java
+++ b/emulator/src/main/java/baymoor/emulator/world/RouterLoad.java
@@ -99,8 +99,7 @@
     }
 
     private void scheduleNext() {
-        // Counted from the drawn arrival times, not from when the timer fired, so that late timers don't reduce the
-        // load.
+        // Based on the previous arrival time, not on the current time, so that late timers don't reduce the load.
         nextArrivalAt += Math.max(1, (long) Math.ceil(Draw.exponential(random) / rate));
         time.after(nextArrivalAt - time.now(), () -> {
             if (nextArrivalAt < loadEndsAt) {
@@ -135,6 +134,7 @@
         return failed;
     }
 
+    /** A client connection with at most one open request. */
     private final class LoadClient implements LinkEvents {
         private final RespReader reader = RespReader.ofAnswers();
         private Link link;
--- a/emulator/src/main/java/baymoor/emulator/world/Routers.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Routers.java
@@ -57,7 +57,7 @@
     }
 
     /**
-     * @param onEvent receives each event as its name and the name of the router
+     * @param onEvent       receives each event as its name and the name of the router
      * @param onEntryChange receives changed entries, with how discovery can notice the change
      */
     Routers(
