--- a/emulator/src/main/java/baymoor/emulator/world/Listing.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Listing.java
@@ -8,12 +8,12 @@
 import java.util.function.IntFunction;
 import java.util.function.LongUnaryOperator;
 
-/** Discovery's list in its own form. */
+/** Entries of the discovery service and their JSON encoding. Stateless. */
 public final class Listing {
 
     static final ObjectMapper JSON = new ObjectMapper();
 
-    /** What a listed process does. */
+    /** The lifecycle status of a listed process, written in lower case. */
     public enum Status {
         IN_SERVICE,
         TERMINATING,
@@ -21,8 +21,10 @@
     }
 
     /**
-     * A listed process; {@code host} is its number in the world, by which its address is found.
-     * {@code sinceMicros}: when it last started, 0 for long ago.
+     * A listed process.
+     *
+     * @param host            number of the place at which it listens, from which its address is resolved
+     * @param startedAtMicros time of its last start, 0 if it was running before the run began
      */
     public record Entry(
             String name,
@@ -32,18 +34,22 @@
             int group,
             Status status,
             double weight,
-            long sinceMicros) {
+            long startedAtMicros) {
 
-        Entry with(Status now) {
-            return new Entry(name, host, zone, type, group, now, weight, sinceMicros);
+        Entry withStatus(Status newStatus) {
+            return new Entry(name, host, zone, type, group, newStatus, weight, startedAtMicros);
         }
     }
 
     private Listing() {}
 
     /**
-     * @param address    of a host by its number, as one balancer reaches it
-     * @param unixMillis of a moment of the world's clock
+     * Encodes a list or a batch of changes.
+     *
+     * @param index      version of the list
+     * @param snapshot   whether the entries are the whole list
+     * @param address    resolves the address of a host by its number, as one balancer reaches it
+     * @param unixMillis converts microseconds of the platform's clock to Unix time in milliseconds
      */
     public static ObjectNode object(
             long index,
@@ -54,17 +60,17 @@
         ObjectNode object = JSON.createObjectNode().put("index", index).put("snapshot", snapshot);
         ArrayNode endpoints = object.putArray("endpoints");
         for (Entry e : entries) {
-            InetSocketAddress at = address.apply(e.host);
+            InetSocketAddress socketAddress = address.apply(e.host);
             endpoints
                     .addObject()
                     .put("name", e.name)
-                    .put("address", at.getAddress().getHostAddress() + ":" + at.getPort())
+                    .put("address", socketAddress.getAddress().getHostAddress() + ":" + socketAddress.getPort())
                     .put("zone", e.zone)
                     .put("type", e.type)
                     .put("group", e.group)
                     .put("status", e.status.name().toLowerCase(java.util.Locale.ROOT))
                     .put("weight", e.weight)
-                    .put("since_ms", e.sinceMicros == 0 ? 0 : unixMillis.applyAsLong(e.sinceMicros));
+                    .put("since_ms", e.startedAtMicros == 0 ? 0 : unixMillis.applyAsLong(e.startedAtMicros));
         }
         return object;
     }
--- a/emulator/src/main/java/baymoor/emulator/world/LoadGauge.java
+++ b/emulator/src/main/java/baymoor/emulator/world/LoadGauge.java
@@ -3,33 +3,33 @@
 import java.util.List;
 import java.util.Locale;
 
-/** A router's report of its load: read off now and then, so that it is a little old whenever it is told. */
+/** A router's load report, sampled at intervals and therefore slightly stale when it is read. Not thread-safe. */
 final class LoadGauge {
 
-    /** What is reported, in the words of the settings. */
+    /** Names of the reported fields, as in the balancer's settings. */
     static final List<String> NAMES = List.of("outstanding", "backlog", "utilization");
 
     private static final long REFRESH_MICROS = 100_000;
 
     private final int slots;
-    private long readAt = Long.MIN_VALUE / 2;
-    private String text = "";
+    private long sampledAt = Long.MIN_VALUE / 2;
+    private String latest = "";
 
     LoadGauge(int slots) {
         this.slots = slots;
     }
 
-    /** Names and values as they were read off last. */
-    String read(long now, Station station) {
-        if (now - readAt >= REFRESH_MICROS) {
-            readAt = now;
-            text = String.format(
+    /** Returns the latest sample as names and values; samples again if it is too old. */
+    String report(long now, ProcessorSharingServer server) {
+        if (now - sampledAt >= REFRESH_MICROS) {
+            sampledAt = now;
+            latest = String.format(
                     Locale.ROOT,
                     "outstanding=%d,backlog=%d,utilization=%.2f",
-                    station.inWork(),
-                    station.waiting(),
-                    Math.min(1, (double) station.inWork() / slots));
+                    server.runningCount(),
+                    server.waitingCount(),
+                    Math.min(1, (double) server.runningCount() / slots));
         }
-        return text;
+        return latest;
     }
 }
