--- a/balancer/src/main/java/merlinstep/simhost/Conf.java
+++ b/balancer/src/main/java/merlinstep/simhost/Conf.java
@@ -26,9 +26,9 @@
 
     private final Map<String, String> pairs = new HashMap<>();
 
-    Conf(Line line) {
-        for (int i = 0; i < line.fields(); i++) {
-            pairs.put(line.name(i), line.value(i));
+    Conf(ProtocolLine line) {
+        for (int i = 0; i < line.fieldCount(); i++) {
+            pairs.put(line.fieldName(i), line.fieldValue(i));
         }
     }
 
@@ -149,7 +149,7 @@
     private String needed(String path) {
         String value = pairs.get(path);
         if (value == null) {
-            throw new MalformedLine(MESSAGE, path);
+            throw new MalformedLineException(MESSAGE, path);
         }
         return value;
     }
@@ -173,7 +173,7 @@
         try {
             return value == null ? absent : Double.parseDouble(value);
         } catch (NumberFormatException e) {
-            throw new MalformedLine(MESSAGE, path);
+            throw new MalformedLineException(MESSAGE, path);
         }
     }
 
--- a/balancer/src/main/java/merlinstep/simhost/Host.java
+++ b/balancer/src/main/java/merlinstep/simhost/Host.java
@@ -34,8 +34,8 @@
     private final InputStream in;
     private final OutputStream out;
     private final PrintStream errors;
-    private final Line line = new Line();
-    private final Words words = new Words();
+    private final ProtocolLine line = new ProtocolLine();
+    private final StringInterner interner = new StringInterner();
     private final Reply reply = new Reply();
     private final List<List<Server>> pages = new ArrayList<>(Collections.nCopies(PAGES, null));
     private Decisions[] instances = new Decisions[64];
@@ -62,10 +62,10 @@
                 take();
             }
             if (inRound) {
-                throw new MalformedLine("FLUSH", "missing at the end of input");
+                throw new MalformedLineException("FLUSH", "missing at the end of input");
             }
             return 0;
-        } catch (MalformedLine e) {
+        } catch (MalformedLineException e) {
             errors.println("line " + lines + ": " + e.getMessage());
             return MALFORMED;
         }
@@ -80,7 +80,7 @@
             }
             if (scan < filled) {
                 lines++;
-                line.set(buffer, at, scan > at && buffer[scan - 1] == '\r' ? scan - 1 : scan);
+                line.reset(buffer, at, scan > at && buffer[scan - 1] == '\r' ? scan - 1 : scan);
                 at = scan + 1;
                 return true;
             }
@@ -97,8 +97,8 @@
             if (read < 0) {
                 if (filled > 0) {
                     lines++;
-                    line.set(buffer, 0, filled);
-                    throw new MalformedLine(line.message(), "cut off by the end of input");
+                    line.reset(buffer, 0, filled);
+                    throw new MalformedLineException(line.messageType(), "cut off by the end of input");
                 }
                 return false;
             }
@@ -108,77 +108,77 @@
 
     private void take() throws IOException {
         if (!inRound) {
-            if (!line.is("ROUND")) {
-                throw new MalformedLine(line.message(), "outside a round");
+            if (!line.hasType("ROUND")) {
+                throw new MalformedLineException(line.messageType(), "outside a round");
             }
-            now = line.number("at_time");
+            now = line.getLong("at_time");
             inRound = true;
         } else if (entriesLeft > 0) {
             entry();
-        } else if (line.is("FLUSH")) {
+        } else if (line.hasType("FLUSH")) {
             inRound = false;
             reply.finish(out);
-        } else if (line.is("CLOSED_ATTEMPT")) {
+        } else if (line.hasType("CLOSED_ATTEMPT")) {
             decide(new AttemptEnded(
-                    line.text("txn"),
-                    line.small("copy", Integer.MAX_VALUE),
-                    line.number("host"),
+                    line.getString("txn"),
+                    line.getBoundedInt("copy", Integer.MAX_VALUE),
+                    line.getLong("host"),
                     outcome(),
-                    line.number("latency", 0),
-                    line.flag("terminal"),
-                    (int) line.number("info", 0),
-                    line.report("gauge")));
-        } else if (line.is("INBOUND")) {
+                    line.getLong("latency", 0),
+                    line.getBoolean("terminal"),
+                    (int) line.getLong("info", 0),
+                    line.getDoubles("gauge")));
+        } else if (line.hasType("INBOUND")) {
             decide(new Request(
-                    line.text("txn"),
-                    line.neededWord("grade", words),
-                    line.word("project", words),
-                    line.has("route_key"),
-                    line.hex("route_key"),
-                    line.number("deadline"),
-                    line.number("estimate", 0),
-                    line.real("size", 0),
-                    line.flag("retry"),
-                    line.flag("is_write")));
-        } else if (line.is("MAIL")) {
-            decide(new PeerMessage(line.small("from", Integer.MAX_VALUE), line.base64("content")));
-        } else if (line.is("WAKEUP")) {
-            decide(new TimerFired(line.number("key_back")));
-        } else if (line.is("OPENED")) {
+                    line.getString("txn"),
+                    line.getRequiredInterned("grade", interner),
+                    line.getInterned("project", interner),
+                    line.hasField("route_key"),
+                    line.getHex("route_key"),
+                    line.getLong("deadline"),
+                    line.getLong("estimate", 0),
+                    line.getDouble("size", 0),
+                    line.getBoolean("retry"),
+                    line.getBoolean("is_write")));
+        } else if (line.hasType("MAIL")) {
+            decide(new PeerMessage(line.getBoundedInt("from", Integer.MAX_VALUE), line.getBase64("content")));
+        } else if (line.hasType("WAKEUP")) {
+            decide(new TimerFired(line.getLong("key_back")));
+        } else if (line.hasType("OPENED")) {
             decide(new AnswerBegan(
-                    line.text("txn"),
-                    line.number("host"),
-                    line.number("latency", 0),
-                    line.small("copy", Integer.MAX_VALUE)));
-        } else if (line.is("CANCELLED_BY_CLIENT")) {
-            decide(new RequestGone(line.text("txn")));
-        } else if (line.is("SAMPLED")) {
-            decide(new Probed(line.number("host"), outcome(), line.number("latency", 0), line.report("gauge")));
-        } else if (line.is("PAGE")) {
+                    line.getString("txn"),
+                    line.getLong("host"),
+                    line.getLong("latency", 0),
+                    line.getBoundedInt("copy", Integer.MAX_VALUE)));
+        } else if (line.hasType("CANCELLED_BY_CLIENT")) {
+            decide(new RequestGone(line.getString("txn")));
+        } else if (line.hasType("SAMPLED")) {
+            decide(new Probed(line.getLong("host"), outcome(), line.getLong("latency", 0), line.getDoubles("gauge")));
+        } else if (line.hasType("PAGE")) {
             page();
-        } else if (line.is("SYNC")) {
-            decide(new ServerList(listKind(), line.number("revision", 0), servers()));
-        } else if (line.is("ATTACH")) {
+        } else if (line.hasType("SYNC")) {
+            decide(new ServerList(listKind(), line.getLong("revision", 0), servers()));
+        } else if (line.hasType("ATTACH")) {
             attach();
-        } else if (line.is("POWER_OFF")) {
-            int instance = line.small("balancer", MOST_INSTANCES);
+        } else if (line.hasType("POWER_OFF")) {
+            int instance = line.getBoundedInt("balancer", MOST_INSTANCES);
             if (instance < instances.length) {
                 instances[instance] = null;
             }
         } else {
-            throw new MalformedLine(line.message(), "unknown message");
+            throw new MalformedLineException(line.messageType(), "unknown message");
         }
     }
 
     private void attach() {
-        int instance = line.small("balancer", MOST_INSTANCES);
+        int instance = line.getBoundedInt("balancer", MOST_INSTANCES);
         if (instance >= instances.length) {
             instances = Arrays.copyOf(instances, Math.max(2 * instances.length, instance + 1));
         }
         reply.open(instance);
         try {
             instances[instance] = Decisions.start(new Conf(line).settings());
-        } catch (MalformedLine e) {
+        } catch (MalformedLineException e) {
             throw e;
         } catch (RuntimeException e) {
             failed(instance, e);
@@ -187,7 +187,7 @@
 
     /** An event for an instance that does not run, or runs no longer, is nobody's. */
     private void decide(Event event) {
-        int instance = line.small("balancer", MOST_INSTANCES);
+        int instance = line.getBoundedInt("balancer", MOST_INSTANCES);
         Decisions decisions = instance < instances.length ? instances[instance] : null;
         if (decisions == null) {
             return;
@@ -207,24 +207,24 @@
     }
 
     private void page() {
-        page = line.small("page", PAGES - 1);
-        entriesLeft = line.small("rows", Integer.MAX_VALUE);
+        page = line.getBoundedInt("page", PAGES - 1);
+        entriesLeft = line.getBoundedInt("rows", Integer.MAX_VALUE);
         entries = new ArrayList<>();
         pages.set(page, entries);
     }
 
     private void entry() {
-        if (!line.is("ENTRY")) {
-            throw new MalformedLine(line.message(), "where an ENTRY is due");
+        if (!line.hasType("ENTRY")) {
+            throw new MalformedLineException(line.messageType(), "where an ENTRY is due");
         }
         entries.add(new Server(
-                line.number("host"),
-                line.real("size", 1),
-                line.neededWord("shape", words),
+                line.getLong("host"),
+                line.getDouble("size", 1),
+                line.getRequiredInterned("shape", interner),
                 state(),
-                line.word("rack_zone", words),
-                line.number("boot_time", 0),
-                (int) line.number("block", 0)));
+                line.getInterned("rack_zone", interner),
+                line.getLong("boot_time", 0),
+                (int) line.getLong("block", 0)));
         entriesLeft--;
     }
 
@@ -232,34 +232,34 @@
         if (listKind() == ListKind.FAILED) {
             return List.of();
         }
-        List<Server> servers = pages.get(line.small("page", PAGES - 1));
+        List<Server> servers = pages.get(line.getBoundedInt("page", PAGES - 1));
         if (servers == null) {
-            throw new MalformedLine(line.message(), "page");
+            throw new MalformedLineException(line.messageType(), "page");
         }
         return servers;
     }
 
     private State state() {
-        return switch (line.neededWord("stage_state", words)) {
+        return switch (line.getRequiredInterned("stage_state", interner)) {
             case "live" -> State.RUNNING;
             case "quiescing" -> State.DRAINING;
             case "dead" -> State.GONE;
-            default -> throw new MalformedLine(line.message(), "stage_state");
+            default -> throw new MalformedLineException(line.messageType(), "stage_state");
         };
     }
 
     private ListKind listKind() {
-        return switch (line.neededWord("kind", words)) {
+        return switch (line.getRequiredInterned("kind", interner)) {
             case "delta" -> ListKind.CHANGES;
             case "full" -> ListKind.WHOLE;
             case "cached" -> ListKind.LAST_KNOWN;
             case "failed" -> ListKind.FAILED;
-            default -> throw new MalformedLine(line.message(), "kind");
+            default -> throw new MalformedLineException(line.messageType(), "kind");
         };
     }
 
     private Outcome outcome() {
-        return switch (line.neededWord("how", words)) {
+        return switch (line.getRequiredInterned("how", interner)) {
             case "GOOD" -> Outcome.SERVED;
             case "BAD" -> Outcome.ERROR;
             case "FULL" -> Outcome.FULL;
@@ -269,7 +269,7 @@
             case "CXL" -> Outcome.CANCELLED;
             case "NOP" -> Outcome.NOT_SENT;
             case "MISS" -> Outcome.MISS;
-            default -> throw new MalformedLine(line.message(), "how");
+            default -> throw new MalformedLineException(line.messageType(), "how");
         };
     }
 }
