--- a/balancer/src/main/java/merlinstep/simhost/Host.java
+++ b/balancer/src/main/java/merlinstep/simhost/Host.java
@@ -26,10 +26,10 @@
 /** The reply loop: reads rounds of events, hands each to its instance, writes the actions. It decides nothing. */
 final class Host {
 
-    private static final int MALFORMED = 2;
-    private static final int PAGES = 16;
-    private static final int MOST_INSTANCES = 1 << 20;
-    private static final int BUFFER = 1 << 16;
+    private static final int EXIT_MALFORMED_INPUT = 2;
+    private static final int MAX_PAGES = 16;
+    private static final int MAX_INSTANCE_ID = 1 << 20;
+    private static final int INITIAL_BUFFER_BYTES = 1 << 16;
 
     private final InputStream in;
     private final OutputStream out;
@@ -37,17 +37,17 @@
     private final ProtocolLine line = new ProtocolLine();
     private final StringInterner interner = new StringInterner();
     private final Reply reply = new Reply();
-    private final List<List<Server>> pages = new ArrayList<>(Collections.nCopies(PAGES, null));
+    private final List<List<Server>> pages = new ArrayList<>(Collections.nCopies(MAX_PAGES, null));
     private Decisions[] instances = new Decisions[64];
-    private byte[] buffer = new byte[BUFFER];
-    private int filled;
-    private int at;
-    private long lines;
+    private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
+    private int bufferLimit;
+    private int position;
+    private long lineNumber;
     private boolean inRound;
-    private long now;
-    private int page;
-    private int entriesLeft;
-    private List<Server> entries;
+    private long nowMicros;
+    private int pageIndex;
+    private int remainingEntries;
+    private List<Server> pageEntries;
 
     Host(InputStream in, OutputStream out, PrintStream errors) {
         this.in = in;
@@ -58,78 +58,78 @@
     /** Runs to the end of input and gives the exit status. */
     int run() throws IOException {
         try {
-            while (next()) {
-                take();
+            while (readLine()) {
+                handleLine();
             }
             if (inRound) {
                 throw new MalformedLineException("FLUSH", "missing at the end of input");
             }
             return 0;
         } catch (MalformedLineException e) {
-            errors.println("line " + lines + ": " + e.getMessage());
-            return MALFORMED;
+            errors.println("line " + lineNumber + ": " + e.getMessage());
+            return EXIT_MALFORMED_INPUT;
         }
     }
 
     /** Sets the line object to the next line; false at the end of input. */
-    private boolean next() throws IOException {
-        int scan = at;
+    private boolean readLine() throws IOException {
+        int scan = position;
         while (true) {
-            while (scan < filled && buffer[scan] != '\n') {
+            while (scan < bufferLimit && buffer[scan] != '\n') {
                 scan++;
             }
-            if (scan < filled) {
-                lines++;
-                line.reset(buffer, at, scan > at && buffer[scan - 1] == '\r' ? scan - 1 : scan);
-                at = scan + 1;
+            if (scan < bufferLimit) {
+                lineNumber++;
+                line.reset(buffer, position, scan > position && buffer[scan - 1] == '\r' ? scan - 1 : scan);
+                position = scan + 1;
                 return true;
             }
-            if (at > 0) {
-                System.arraycopy(buffer, at, buffer, 0, filled - at);
-                filled -= at;
-                scan -= at;
-                at = 0;
+            if (position > 0) {
+                System.arraycopy(buffer, position, buffer, 0, bufferLimit - position);
+                bufferLimit -= position;
+                scan -= position;
+                position = 0;
             }
-            if (filled == buffer.length) {
-                buffer = Arrays.copyOf(buffer, 2 * filled);
+            if (bufferLimit == buffer.length) {
+                buffer = Arrays.copyOf(buffer, 2 * bufferLimit);
             }
-            int read = in.read(buffer, filled, buffer.length - filled);
+            int read = in.read(buffer, bufferLimit, buffer.length - bufferLimit);
             if (read < 0) {
-                if (filled > 0) {
-                    lines++;
-                    line.reset(buffer, 0, filled);
+                if (bufferLimit > 0) {
+                    lineNumber++;
+                    line.reset(buffer, 0, bufferLimit);
                     throw new MalformedLineException(line.messageType(), "cut off by the end of input");
                 }
                 return false;
             }
-            filled += read;
+            bufferLimit += read;
         }
     }
 
-    private void take() throws IOException {
+    private void handleLine() throws IOException {
         if (!inRound) {
             if (!line.hasType("ROUND")) {
                 throw new MalformedLineException(line.messageType(), "outside a round");
             }
-            now = line.getLong("at_time");
+            nowMicros = line.getLong("at_time");
             inRound = true;
-        } else if (entriesLeft > 0) {
-            entry();
+        } else if (remainingEntries > 0) {
+            addPageEntry();
         } else if (line.hasType("FLUSH")) {
             inRound = false;
-            reply.finish(out);
+            reply.writeRound(out);
         } else if (line.hasType("CLOSED_ATTEMPT")) {
-            decide(new AttemptEnded(
+            deliver(new AttemptEnded(
                     line.getString("txn"),
                     line.getBoundedInt("copy", Integer.MAX_VALUE),
                     line.getLong("host"),
-                    outcome(),
+                    parseOutcome(),
                     line.getLong("latency", 0),
                     line.getBoolean("terminal"),
                     (int) line.getLong("info", 0),
                     line.getDoubles("gauge")));
         } else if (line.hasType("INBOUND")) {
-            decide(new Request(
+            deliver(new Request(
                     line.getString("txn"),
                     line.getRequiredInterned("grade", interner),
                     line.getInterned("project", interner),
@@ -141,105 +141,106 @@
                     line.getBoolean("retry"),
                     line.getBoolean("is_write")));
         } else if (line.hasType("MAIL")) {
-            decide(new PeerMessage(line.getBoundedInt("from", Integer.MAX_VALUE), line.getBase64("content")));
+            deliver(new PeerMessage(line.getBoundedInt("from", Integer.MAX_VALUE), line.getBase64("content")));
         } else if (line.hasType("WAKEUP")) {
-            decide(new TimerFired(line.getLong("key_back")));
+            deliver(new TimerFired(line.getLong("key_back")));
         } else if (line.hasType("OPENED")) {
-            decide(new AnswerBegan(
+            deliver(new AnswerBegan(
                     line.getString("txn"),
                     line.getLong("host"),
                     line.getLong("latency", 0),
                     line.getBoundedInt("copy", Integer.MAX_VALUE)));
         } else if (line.hasType("CANCELLED_BY_CLIENT")) {
-            decide(new RequestGone(line.getString("txn")));
+            deliver(new RequestGone(line.getString("txn")));
         } else if (line.hasType("SAMPLED")) {
-            decide(new Probed(line.getLong("host"), outcome(), line.getLong("latency", 0), line.getDoubles("gauge")));
+            deliver(new Probed(
+                    line.getLong("host"), parseOutcome(), line.getLong("latency", 0), line.getDoubles("gauge")));
         } else if (line.hasType("PAGE")) {
-            page();
+            startPage();
         } else if (line.hasType("SYNC")) {
-            decide(new ServerList(listKind(), line.getLong("revision", 0), servers()));
+            deliver(new ServerList(parseListKind(), line.getLong("revision", 0), listedServers()));
         } else if (line.hasType("ATTACH")) {
-            attach();
+            startInstance();
         } else if (line.hasType("POWER_OFF")) {
-            int instance = line.getBoundedInt("balancer", MOST_INSTANCES);
-            if (instance < instances.length) {
-                instances[instance] = null;
+            int id = line.getBoundedInt("balancer", MAX_INSTANCE_ID);
+            if (id < instances.length) {
+                instances[id] = null;
             }
         } else {
             throw new MalformedLineException(line.messageType(), "unknown message");
         }
     }
 
-    private void attach() {
-        int instance = line.getBoundedInt("balancer", MOST_INSTANCES);
-        if (instance >= instances.length) {
-            instances = Arrays.copyOf(instances, Math.max(2 * instances.length, instance + 1));
+    private void startInstance() {
+        int id = line.getBoundedInt("balancer", MAX_INSTANCE_ID);
+        if (id >= instances.length) {
+            instances = Arrays.copyOf(instances, Math.max(2 * instances.length, id + 1));
         }
-        reply.open(instance);
+        reply.selectInstance(id);
         try {
-            instances[instance] = Decisions.start(new Conf(line).settings());
+            instances[id] = Decisions.start(new SettingsParser(line).parse());
         } catch (MalformedLineException e) {
             throw e;
         } catch (RuntimeException e) {
-            failed(instance, e);
+            stopFailed(id, e);
         }
     }
 
     /** An event for an instance that does not run, or runs no longer, is nobody's. */
-    private void decide(Event event) {
-        int instance = line.getBoundedInt("balancer", MOST_INSTANCES);
-        Decisions decisions = instance < instances.length ? instances[instance] : null;
+    private void deliver(Event event) {
+        int id = line.getBoundedInt("balancer", MAX_INSTANCE_ID);
+        Decisions decisions = id < instances.length ? instances[id] : null;
         if (decisions == null) {
             return;
         }
-        reply.open(instance);
+        reply.selectInstance(id);
         try {
-            decisions.decide(now, event, reply);
+            decisions.decide(nowMicros, event, reply);
         } catch (RuntimeException e) {
-            failed(instance, e);
+            stopFailed(id, e);
         }
     }
 
-    private void failed(int instance, RuntimeException e) {
+    private void stopFailed(int id, RuntimeException e) {
         e.printStackTrace(errors);
-        instances[instance] = null;
-        reply.bailOut(e.toString());
+        instances[id] = null;
+        reply.addInstanceFailure(e.toString());
     }
 
-    private void page() {
-        page = line.getBoundedInt("page", PAGES - 1);
-        entriesLeft = line.getBoundedInt("rows", Integer.MAX_VALUE);
-        entries = new ArrayList<>();
-        pages.set(page, entries);
+    private void startPage() {
+        pageIndex = line.getBoundedInt("page", MAX_PAGES - 1);
+        remainingEntries = line.getBoundedInt("rows", Integer.MAX_VALUE);
+        pageEntries = new ArrayList<>();
+        pages.set(pageIndex, pageEntries);
     }
 
-    private void entry() {
+    private void addPageEntry() {
         if (!line.hasType("ENTRY")) {
             throw new MalformedLineException(line.messageType(), "where an ENTRY is due");
         }
-        entries.add(new Server(
+        pageEntries.add(new Server(
                 line.getLong("host"),
                 line.getDouble("size", 1),
                 line.getRequiredInterned("shape", interner),
-                state(),
+                parseServerState(),
                 line.getInterned("rack_zone", interner),
                 line.getLong("boot_time", 0),
                 (int) line.getLong("block", 0)));
-        entriesLeft--;
+        remainingEntries--;
     }
 
-    private List<Server> servers() {
-        if (listKind() == ListKind.FAILED) {
+    private List<Server> listedServers() {
+        if (parseListKind() == ListKind.FAILED) {
             return List.of();
         }
-        List<Server> servers = pages.get(line.getBoundedInt("page", PAGES - 1));
+        List<Server> servers = pages.get(line.getBoundedInt("page", MAX_PAGES - 1));
         if (servers == null) {
             throw new MalformedLineException(line.messageType(), "page");
         }
         return servers;
     }
 
-    private State state() {
+    private State parseServerState() {
         return switch (line.getRequiredInterned("stage_state", interner)) {
             case "live" -> State.RUNNING;
             case "quiescing" -> State.DRAINING;
@@ -248,7 +249,7 @@
         };
     }
 
-    private ListKind listKind() {
+    private ListKind parseListKind() {
         return switch (line.getRequiredInterned("kind", interner)) {
             case "delta" -> ListKind.CHANGES;
             case "full" -> ListKind.WHOLE;
@@ -258,7 +259,7 @@
         };
     }
 
-    private Outcome outcome() {
+    private Outcome parseOutcome() {
         return switch (line.getRequiredInterned("how", interner)) {
             case "GOOD" -> Outcome.SERVED;
             case "BAD" -> Outcome.ERROR;
--- a/balancer/src/main/java/merlinstep/simhost/Main.java
+++ b/balancer/src/main/java/merlinstep/simhost/Main.java
@@ -8,14 +8,14 @@
 /** Command line entry: {@code simhost} hosts instances of the module on the simulator's wire. */
 public final class Main {
 
-    private static final int USAGE = 2;
+    private static final int EXIT_USAGE = 2;
 
     private Main() {}
 
     public static void main(String[] args) throws IOException {
         if (args.length != 1 || !args[0].equals("simhost")) {
             System.err.println("usage: java -jar merlinstep.jar simhost");
-            System.exit(USAGE);
+            System.exit(EXIT_USAGE);
         }
         Host host =
                 new Host(new FileInputStream(FileDescriptor.in), new FileOutputStream(FileDescriptor.out), System.err);
--- a/balancer/src/main/java/merlinstep/simhost/Reply.java
+++ b/balancer/src/main/java/merlinstep/simhost/Reply.java
@@ -22,107 +22,114 @@
 /** Gathers the actions of a round as wire lines and writes them in one piece. */
 final class Reply implements Decisions.Sink {
 
-    private static final int BUFFER = 1 << 16;
+    private static final int INITIAL_BUFFER_BYTES = 1 << 16;
 
-    private byte[] bytes = new byte[BUFFER];
+    private byte[] bytes = new byte[INITIAL_BUFFER_BYTES];
     private int length;
-    private int instance;
+    private int instanceId;
 
     /** The instance whose actions follow. */
-    void open(int number) {
-        instance = number;
+    void selectInstance(int id) {
+        instanceId = id;
     }
 
     @Override
     public void accept(Action action) {
         if (action instanceof Send a) {
-            begin("DISPATCH").put("\ttxn=").put(a.request()).put("\ttimeout=").put(a.timeoutMicros());
-            put("\thost=").put(a.server()).end();
+            beginMessage("DISPATCH")
+                    .append("\ttxn=")
+                    .append(a.request())
+                    .append("\ttimeout=")
+                    .append(a.timeoutMicros());
+            append("\thost=").append(a.server()).endLine();
         } else if (action instanceof SetTimer a) {
-            begin("AFTER")
-                    .put("\tkey_back=")
-                    .put(a.token())
-                    .put("\twait=")
-                    .put(a.delayMicros())
-                    .end();
+            beginMessage("AFTER")
+                    .append("\tkey_back=")
+                    .append(a.token())
+                    .append("\twait=")
+                    .append(a.delayMicros())
+                    .endLine();
         } else if (action instanceof TellPeer a) {
-            begin("WRITE_PEER")
-                    .put("\twhom=")
-                    .put(a.peer())
-                    .put("\tcontent=")
-                    .put(encode(a.content()))
-                    .end();
+            beginMessage("WRITE_PEER")
+                    .append("\twhom=")
+                    .append(a.peer())
+                    .append("\tcontent=")
+                    .append(encodeBase64(a.content()))
+                    .endLine();
         } else if (action instanceof Refuse a) {
-            begin("OVERLOAD_REPLY")
-                    .put("\ttxn=")
-                    .put(a.request())
-                    .put("\tstay_away=")
-                    .put(a.retryAfterMicros())
-                    .end();
+            beginMessage("OVERLOAD_REPLY")
+                    .append("\ttxn=")
+                    .append(a.request())
+                    .append("\tstay_away=")
+                    .append(a.retryAfterMicros())
+                    .endLine();
         } else if (action instanceof Fail a) {
-            begin("REPORT_FAILURE").put("\ttxn=").put(a.request()).end();
+            beginMessage("REPORT_FAILURE").append("\ttxn=").append(a.request()).endLine();
         } else if (action instanceof Cancel a) {
-            begin("REVOKE")
-                    .put("\ttxn=")
-                    .put(a.request())
-                    .put("\tcopy=")
-                    .put(a.attempt())
-                    .end();
+            beginMessage("REVOKE")
+                    .append("\ttxn=")
+                    .append(a.request())
+                    .append("\tcopy=")
+                    .append(a.attempt())
+                    .endLine();
         } else if (action instanceof Probe a) {
-            begin("INSPECT").put("\thost=").put(a.server()).end();
+            beginMessage("INSPECT").append("\thost=").append(a.server()).endLine();
         } else if (action instanceof CloseIdle a) {
-            begin("HANG_UP").put("\thost=").put(a.server()).end();
+            beginMessage("HANG_UP").append("\thost=").append(a.server()).endLine();
         } else if (action instanceof Log a) {
-            begin("RECORD").put("\twhat=").putText(a.text()).end();
+            beginMessage("RECORD").append("\twhat=").appendText(a.text()).endLine();
         } else if (action instanceof WatchServers a) {
-            begin("STREAM_CHANGES").put("\tenable=").put(a.on() ? 1 : 0).end();
+            beginMessage("STREAM_CHANGES")
+                    .append("\tenable=")
+                    .append(a.on() ? 1 : 0)
+                    .endLine();
         } else if (action instanceof AskServers) {
-            begin("SNAPSHOT").end();
+            beginMessage("SNAPSHOT").endLine();
         }
     }
 
-    void bailOut(String text) {
-        begin("BAIL_OUT").put("\twhat=").putText(text).end();
+    void addInstanceFailure(String text) {
+        beginMessage("BAIL_OUT").append("\twhat=").appendText(text).endLine();
     }
 
     /** Writes the round's lines and the closing one, and flushes. */
-    void finish(OutputStream out) throws IOException {
-        put("READY").end();
+    void writeRound(OutputStream out) throws IOException {
+        append("READY").endLine();
         out.write(bytes, 0, length);
         out.flush();
         length = 0;
     }
 
-    private static String encode(byte[] content) {
+    private static String encodeBase64(byte[] content) {
         return content.length == 0 ? "-" : Base64.getEncoder().encodeToString(content);
     }
 
-    private Reply begin(String message) {
-        return put(message).put("\tbalancer=").put(instance);
+    private Reply beginMessage(String type) {
+        return append(type).append("\tbalancer=").append(instanceId);
     }
 
-    private Reply put(String text) {
-        room(text.length());
+    private Reply append(String text) {
+        ensureCapacity(text.length());
         for (int i = 0; i < text.length(); i++) {
             bytes[length++] = (byte) text.charAt(i);
         }
         return this;
     }
 
-    private Reply putText(String text) {
-        byte[] utf =
+    private Reply appendText(String text) {
+        byte[] utf8 =
                 text.replace('\t', ' ').replace('\n', ' ').replace('\r', ' ').getBytes(StandardCharsets.UTF_8);
-        room(utf.length);
-        System.arraycopy(utf, 0, bytes, length, utf.length);
-        length += utf.length;
+        ensureCapacity(utf8.length);
+        System.arraycopy(utf8, 0, bytes, length, utf8.length);
+        length += utf8.length;
         return this;
     }
 
-    private Reply put(long number) {
+    private Reply append(long number) {
         if (number < 0) {
-            return put(Long.toString(number));
+            return append(Long.toString(number));
         }
-        room(20);
+        ensureCapacity(20);
         int digits = 1;
         for (long n = number; n >= 10; n /= 10) {
             digits++;
@@ -135,14 +142,14 @@
         return this;
     }
 
-    private void end() {
-        room(1);
+    private void endLine() {
+        ensureCapacity(1);
         bytes[length++] = '\n';
     }
 
-    private void room(int more) {
-        if (length + more > bytes.length) {
-            bytes = Arrays.copyOf(bytes, Math.max(2 * bytes.length, length + more));
+    private void ensureCapacity(int additional) {
+        if (length + additional > bytes.length) {
+            bytes = Arrays.copyOf(bytes, Math.max(2 * bytes.length, length + additional));
         }
     }
 }
--- a/balancer/src/test/java/merlinstep/simhost/HostTest.java
+++ b/balancer/src/test/java/merlinstep/simhost/HostTest.java
@@ -37,12 +37,12 @@
     }
 
     @Test
-    void anEmptyBatchGetsAnEmptyReply() throws IOException {
+    void emptyRoundGetsReadyOnly() throws IOException {
         assertEquals(new Result(0, "READY\n", ""), run("ROUND\tat_time=1\nFLUSH\n"));
     }
 
     @Test
-    void aRequestIsSentToTheListedServer() throws IOException {
+    void requestIsDispatchedToTheListedServer() throws IOException {
         Result r = run("ROUND\tat_time=1\n" + ATTACH + LIST + REQUEST + "FLUSH\n");
         assertEquals("", r.err());
         assertTrue(r.out().contains("DISPATCH\tbalancer=3\ttxn=id-1\ttimeout=800000\thost=7\n"), r.out());
@@ -50,21 +50,21 @@
     }
 
     @Test
-    void pagesAreResolvedInOrderOfEvents() throws IOException {
+    void serverListUsesTheLatestContentOfItsPage() throws IOException {
         String second = LIST.replace("host=7", "host=8").replace("cached", "full");
         Result r = run("ROUND\tat_time=1\n" + ATTACH + LIST + second + REQUEST + "FLUSH\n");
         assertTrue(r.out().contains("host=8"), r.out());
     }
 
     @Test
-    void stopAndStartInOneBatchForgetsEverything() throws IOException {
+    void restartWithinOneRoundDiscardsAllState() throws IOException {
         Result r = run("ROUND\tat_time=1\n" + ATTACH + LIST + "POWER_OFF\tbalancer=3\n" + REQUEST + ATTACH
                 + LIST.replace("host=7", "host=9") + REQUEST.replace("id-1", "id-2") + "FLUSH\n");
         assertTrue(!r.out().contains("id-1") && r.out().contains("txn=id-2\ttimeout=800000\thost=9"), r.out());
     }
 
     @Test
-    void malformedLinesAreNamed() throws IOException {
+    void malformedLineIsReportedWithNumberTypeAndField() throws IOException {
         String[][] cases = {
             {"FLUSH\n", "line 1: FLUSH"},
             {"ROUND\n", "line 1: ROUND: at_time"},
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void settingsThatCannotBeStopTheInstanceOnly() throws IOException {
+    void invalidSettingsStopOnlyTheInstance() throws IOException {
         Result r = run("ROUND\tat_time=1\n" + ATTACH.replace("siblings=1", "siblings=0") + "FLUSH\n");
         assertEquals(0, r.status());
         assertTrue(r.out().contains("BAIL_OUT\tbalancer=3\twhat=") && r.out().endsWith("READY\n"), r.out());
@@ -92,7 +92,7 @@
     }
 
     @Test
-    void brokenRoundsEndInWholeRepliesOrTheStatedExit() throws IOException {
+    void corruptedInputYieldsCompleteRepliesAndADocumentedExitStatus() throws IOException {
         byte[] good = ("ROUND\tat_time=1\n" + ATTACH + LIST + REQUEST + "FLUSH\nROUND\tat_time=9000\n"
                         + "WAKEUP\tbalancer=3\tkey_back=1\nFLUSH\n")
                 .getBytes(StandardCharsets.UTF_8);
