--- a/balancer/src/main/java/merlinstep/simhost/Host.java
+++ b/balancer/src/main/java/merlinstep/simhost/Host.java
@@ -23,7 +23,12 @@
 import merlinstep.Decisions.State;
 import merlinstep.Decisions.TimerFired;
 
-/** The reply loop: reads rounds of events, hands each to its instance, writes the actions. It decides nothing. */
+/**
+ * Runs decision instances for the simulator over a line protocol: reads a round of messages from the input, delivers
+ * each event to the instance it addresses and writes the resulting actions when the round ends.
+ *
+ * <p>Malformed input ends the run; an exception in one instance stops only that instance. Not thread-safe.
+ */
 final class Host {
 
     private static final int EXIT_MALFORMED_INPUT = 2;
@@ -55,7 +60,12 @@
         this.errors = errors;
     }
 
-    /** Runs to the end of input and gives the exit status. */
+    /**
+     * Processes rounds until the end of input.
+     *
+     * @return the exit status: 0, or 2 if the input was malformed
+     * @throws IOException if reading the input or writing the output fails
+     */
     int run() throws IOException {
         try {
             while (readLine()) {
@@ -71,7 +81,11 @@
         }
     }
 
-    /** Sets the line object to the next line; false at the end of input. */
+    /**
+     * Reads the next line into {@link #line}, without its line terminator.
+     *
+     * @return false at the end of input
+     */
     private boolean readLine() throws IOException {
         int scan = position;
         while (true) {
@@ -98,7 +112,7 @@
                 if (bufferLimit > 0) {
                     lineNumber++;
                     line.reset(buffer, 0, bufferLimit);
-                    throw new MalformedLineException(line.messageType(), "cut off by the end of input");
+                    throw new MalformedLineException(line.messageType(), "truncated by the end of input");
                 }
                 return false;
             }
@@ -109,7 +123,7 @@
     private void handleLine() throws IOException {
         if (!inRound) {
             if (!line.hasType("ROUND")) {
-                throw new MalformedLineException(line.messageType(), "outside a round");
+                throw new MalformedLineException(line.messageType(), "expected ROUND");
             }
             nowMicros = line.getLong("at_time");
             inRound = true;
@@ -167,7 +181,7 @@
                 instances[id] = null;
             }
         } else {
-            throw new MalformedLineException(line.messageType(), "unknown message");
+            throw new MalformedLineException(line.messageType(), "unknown message type");
         }
     }
 
@@ -186,7 +200,7 @@
         }
     }
 
-    /** An event for an instance that does not run, or runs no longer, is nobody's. */
+    /** Delivers an event to the instance that the line addresses; drops it if that instance is not running. */
     private void deliver(Event event) {
         int id = line.getBoundedInt("balancer", MAX_INSTANCE_ID);
         Decisions decisions = id < instances.length ? instances[id] : null;
@@ -201,6 +215,7 @@
         }
     }
 
+    /** Stops an instance after an exception: logs the stack trace and reports the failure to the simulator. */
     private void stopFailed(int id, RuntimeException e) {
         e.printStackTrace(errors);
         instances[id] = null;
@@ -216,7 +231,7 @@
 
     private void addPageEntry() {
         if (!line.hasType("ENTRY")) {
-            throw new MalformedLineException(line.messageType(), "where an ENTRY is due");
+            throw new MalformedLineException(line.messageType(), "expected ENTRY");
         }
         pageEntries.add(new Server(
                 line.getLong("host"),
@@ -229,6 +244,7 @@
         remainingEntries--;
     }
 
+    /** Returns the servers of the page that the line refers to; none for a failed list. */
     private List<Server> listedServers() {
         if (parseListKind() == ListKind.FAILED) {
             return List.of();
--- a/balancer/src/main/java/merlinstep/simhost/Main.java
+++ b/balancer/src/main/java/merlinstep/simhost/Main.java
@@ -5,7 +5,10 @@
 import java.io.FileOutputStream;
 import java.io.IOException;
 
-/** Command line entry: {@code simhost} hosts instances of the module on the simulator's wire. */
+/**
+ * Command-line entry point: {@code simhost} runs decision instances for the simulator, which sends events on standard
+ * input and reads actions from standard output.
+ */
 public final class Main {
 
     private static final int EXIT_USAGE = 2;
--- a/balancer/src/main/java/merlinstep/simhost/MalformedLineException.java
+++ b/balancer/src/main/java/merlinstep/simhost/MalformedLineException.java
@@ -1,6 +1,6 @@
 package merlinstep.simhost;
 
-/** A wire line that can't be read; the text names the message and the field. */
+/** Signals a protocol line that can't be parsed; its text names the message type and the field or the problem. */
 final class MalformedLineException extends RuntimeException {
 
     private static final long serialVersionUID = 1;
--- a/balancer/src/main/java/merlinstep/simhost/ProtocolLine.java
+++ b/balancer/src/main/java/merlinstep/simhost/ProtocolLine.java
@@ -4,8 +4,11 @@
 import java.util.Base64;
 
 /**
- * One line of the wire, cut into fields in place. The same object serves every line, and numbers and known words are
- * read from the bytes: a string is made only where a value has to outlive the line.
+ * Parses one protocol line: a message type followed by tab-separated {@code name=value} fields.
+ *
+ * <p>The object is reused for every line and reads values directly from the input buffer, to avoid allocating a
+ * string for each field. Fields without {@code =} are ignored. Accessors throw {@link MalformedLineException} if a
+ * required field is missing or a value can't be parsed. Not thread-safe.
  */
 final class ProtocolLine {
 
@@ -21,7 +24,10 @@
     private int[] fieldEnds = new int[INITIAL_FIELD_CAPACITY];
     private int fieldCount;
 
-    /** Takes the bytes from {@code start} to {@code end}, which stay the caller's. */
+    /**
+     * Parses the line at {@code buffer[start, end)}. The buffer is not copied and must not change while this line is
+     * in use.
+     */
     void reset(byte[] buffer, int start, int end) {
         bytes = buffer;
         lineStart = start;
@@ -57,10 +63,12 @@
         fieldEnds[fieldCount++] = fieldEnd;
     }
 
+    /** Returns whether the message type equals {@code type}, which must be ASCII. */
     boolean hasType(String type) {
         return matches(type, lineStart, typeEnd);
     }
 
+    /** Returns the message type for error messages, truncated if it is long. */
     String messageType() {
         return new String(bytes, lineStart, Math.min(typeEnd - lineStart, 40), StandardCharsets.UTF_8);
     }
@@ -120,6 +128,7 @@
         return index < 0 ? defaultValue : parseLong(index, field);
     }
 
+    /** Returns the value of a required field, which must lie in 0..{@code max}. */
     int getBoundedInt(String field, int max) {
         long n = getLong(field);
         if (n < 0 || n > max) {
@@ -147,6 +156,7 @@
         return negative ? -n : n;
     }
 
+    /** Returns up to 16 hexadecimal digits as an unsigned 64-bit value, 0 if the field is absent. */
     long getHex(String field) {
         int index = indexOf(field);
         if (index < 0) {
@@ -182,6 +192,7 @@
         }
     }
 
+    /** Returns whether the field is {@code 1}; {@code 0} or an absent field is false, any other value malformed. */
     boolean getBoolean(String field) {
         int index = indexOf(field);
         if (index < 0) {
@@ -199,7 +210,10 @@
         return fieldValue(requiredIndexOf(field));
     }
 
-    /** A word that occurs again and again, such as a class name: the same string each time. */
+    /**
+     * Returns a value that recurs often, such as a class name, as a shared string; the empty string if the field is
+     * absent.
+     */
     String getInterned(String field, StringInterner interner) {
         int index = indexOf(field);
         return index < 0 ? "" : interner.intern(bytes, separators[index] + 1, fieldEnds[index]);
@@ -210,6 +224,7 @@
         return interner.intern(bytes, separators[index] + 1, fieldEnds[index]);
     }
 
+    /** Returns a comma-separated list of numbers; an empty array if the field is absent or empty. */
     double[] getDoubles(String field) {
         int index = indexOf(field);
         if (index < 0 || fieldEnds[index] == separators[index] + 1) {
@@ -232,6 +247,7 @@
         return values;
     }
 
+    /** Returns the decoded bytes of a required field; {@code -} stands for no bytes. */
     byte[] getBase64(String field) {
         String text = getString(field);
         if (text.equals("-")) {
--- a/balancer/src/main/java/merlinstep/simhost/Reply.java
+++ b/balancer/src/main/java/merlinstep/simhost/Reply.java
@@ -19,7 +19,10 @@
 import merlinstep.Decisions.TellPeer;
 import merlinstep.Decisions.WatchServers;
 
-/** Gathers the actions of a round as wire lines and writes them in one piece. */
+/**
+ * Encodes the actions of a round as protocol lines and buffers them, so that a round's reply is one write. Not
+ * thread-safe.
+ */
 final class Reply implements Decisions.Sink {
 
     private static final int INITIAL_BUFFER_BYTES = 1 << 16;
@@ -28,7 +31,7 @@
     private int length;
     private int instanceId;
 
-    /** The instance whose actions follow. */
+    /** Sets the instance to which the following actions belong. */
     void selectInstance(int id) {
         instanceId = id;
     }
@@ -88,11 +91,12 @@
         }
     }
 
+    /** Appends the message that the selected instance has failed and was stopped. */
     void addInstanceFailure(String text) {
         beginMessage("BAIL_OUT").append("\twhat=").appendText(text).endLine();
     }
 
-    /** Writes the round's lines and the closing one, and flushes. */
+    /** Writes the buffered lines and the line that ends the reply, flushes the stream and empties the buffer. */
     void writeRound(OutputStream out) throws IOException {
         append("READY").endLine();
         out.write(bytes, 0, length);
@@ -108,6 +112,7 @@
         return append(type).append("\tbalancer=").append(instanceId);
     }
 
+    /** Appends ASCII text as is. */
     private Reply append(String text) {
         ensureCapacity(text.length());
         for (int i = 0; i < text.length(); i++) {
@@ -116,6 +121,7 @@
         return this;
     }
 
+    /** Appends text as UTF-8, with a space for each tab and line break. */
     private Reply appendText(String text) {
         byte[] utf8 =
                 text.replace('\t', ' ').replace('\n', ' ').replace('\r', ' ').getBytes(StandardCharsets.UTF_8);
--- a/balancer/src/main/java/merlinstep/simhost/SettingsParser.java
+++ b/balancer/src/main/java/merlinstep/simhost/SettingsParser.java
@@ -19,7 +19,10 @@
 import merlinstep.Decisions.Tenant;
 import merlinstep.Decisions.Weights;
 
-/** Turns the pairs of an attach line into settings; what is absent or unknown gets the value of no such limit. */
+/**
+ * Parses the fields of an ATTACH line into the settings of an instance. Unknown fields are ignored, and an absent
+ * optional field gets a default.
+ */
 final class SettingsParser {
 
     private static final String MESSAGE_TYPE = "ATTACH";
@@ -32,6 +35,12 @@
         }
     }
 
+    /**
+     * Returns the settings.
+     *
+     * @throws MalformedLineException if a required field is missing or a number can't be parsed
+     * @throws IllegalArgumentException if the settings are inconsistent
+     */
     Settings parse() {
         List<RequestClass> classes = new ArrayList<>();
         for (int i = 0; i < getLong("classes.count", 0); i++) {
@@ -165,6 +174,7 @@
         return getLong(key, 0);
     }
 
+    /** Returns a number as a long; a fraction is truncated. */
     private long getLong(String key, long defaultValue) {
         String value = fields.get(key);
         try {
@@ -193,6 +203,7 @@
         return value.isEmpty() ? List.of() : List.of(value.split(","));
     }
 
+    /** Returns the value whose name the field holds, or the default if it is absent or has another name. */
     private <T> T getChoice(
             String key, T defaultValue, String firstName, T firstValue, String secondName, T secondValue) {
         String name = getString(key, "");
--- a/balancer/src/main/java/merlinstep/simhost/StringInterner.java
+++ b/balancer/src/main/java/merlinstep/simhost/StringInterner.java
@@ -2,7 +2,10 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** Keeps one string for each word seen, found by its bytes. Bounded: past that, words are simply made anew. */
+/**
+ * Caches decoded strings by their bytes, in a fixed-size hash table with linear probing. Entries are never evicted: a
+ * string that finds no free slot is decoded again on each call. Not thread-safe.
+ */
 final class StringInterner {
 
     private static final int TABLE_SIZE = 1024;
@@ -10,6 +13,7 @@
 
     private final String[] table = new String[TABLE_SIZE];
 
+    /** Returns the UTF-8 string at {@code bytes[start, end)}, shared with earlier calls where possible. */
     String intern(byte[] bytes, int start, int end) {
         int hash = 17;
         for (int i = start; i < end; i++) {
@@ -29,6 +33,7 @@
         return new String(bytes, start, end - start, StandardCharsets.UTF_8);
     }
 
+    /** Compares bytes with an ASCII string; strings with other characters never match. */
     private static boolean matches(String interned, byte[] bytes, int start, int end) {
         if (interned.length() != end - start) {
             return false;
