--- a/balancer/src/test/java/merlinstep/simhost/HostTest.java
+++ b/balancer/src/test/java/merlinstep/simhost/HostTest.java
@@ -18,8 +18,9 @@
                     + "\tclasses.0.group=all\tclasses.0.hard_limit=2500000\tclasses.0.name=view\tclasses.0.on_time=800000"
                     + "\textra.mode=aside\textra.origin_kind=1\tlimits.max_attempts=6\tme=0\tsiblings=1\tskus=std,origin"
                     + "\ttick=5000\tunknown.setting=7\n";
-    private static final String LIST = "PAGE\tpage=0\trows=1\nENTRY\thost=7\tsize=1.5\tshape=std\tstage_state=live"
-            + "\track_zone=a\tblock=0\nSYNC\tbalancer=3\tkind=cached\trevision=1\tpage=0\n";
+    private static final String SERVER_LIST =
+            "PAGE\tpage=0\trows=1\nENTRY\thost=7\tsize=1.5\tshape=std\tstage_state=live"
+                    + "\track_zone=a\tblock=0\nSYNC\tbalancer=3\tkind=cached\trevision=1\tpage=0\n";
     private static final String REQUEST =
             "INBOUND\tbalancer=3\ttxn=id-1\tgrade=view\troute_key=91f03b7c55d20a64\tdeadline=2000000\tmore=1\n";
 
@@ -43,24 +44,26 @@
 
     @Test
     void requestIsDispatchedToTheListedServer() throws IOException {
-        Result r = run("ROUND\tat_time=1\n" + ATTACH + LIST + REQUEST + "FLUSH\n");
-        assertEquals("", r.err());
-        assertTrue(r.out().contains("DISPATCH\tbalancer=3\ttxn=id-1\ttimeout=800000\thost=7\n"), r.out());
-        assertTrue(r.out().endsWith("READY\n"), r.out());
+        Result result = run("ROUND\tat_time=1\n" + ATTACH + SERVER_LIST + REQUEST + "FLUSH\n");
+        assertEquals("", result.err());
+        assertTrue(result.out().contains("DISPATCH\tbalancer=3\ttxn=id-1\ttimeout=800000\thost=7\n"), result.out());
+        assertTrue(result.out().endsWith("READY\n"), result.out());
     }
 
     @Test
     void serverListUsesTheLatestContentOfItsPage() throws IOException {
-        String second = LIST.replace("host=7", "host=8").replace("cached", "full");
-        Result r = run("ROUND\tat_time=1\n" + ATTACH + LIST + second + REQUEST + "FLUSH\n");
-        assertTrue(r.out().contains("host=8"), r.out());
+        String secondList = SERVER_LIST.replace("host=7", "host=8").replace("cached", "full");
+        Result result = run("ROUND\tat_time=1\n" + ATTACH + SERVER_LIST + secondList + REQUEST + "FLUSH\n");
+        assertTrue(result.out().contains("host=8"), result.out());
     }
 
     @Test
     void restartWithinOneRoundDiscardsAllState() throws IOException {
-        Result r = run("ROUND\tat_time=1\n" + ATTACH + LIST + "POWER_OFF\tbalancer=3\n" + REQUEST + ATTACH
-                + LIST.replace("host=7", "host=9") + REQUEST.replace("id-1", "id-2") + "FLUSH\n");
-        assertTrue(!r.out().contains("id-1") && r.out().contains("txn=id-2\ttimeout=800000\thost=9"), r.out());
+        Result result = run("ROUND\tat_time=1\n" + ATTACH + SERVER_LIST + "POWER_OFF\tbalancer=3\n" + REQUEST + ATTACH
+                + SERVER_LIST.replace("host=7", "host=9") + REQUEST.replace("id-1", "id-2") + "FLUSH\n");
+        assertTrue(
+                !result.out().contains("id-1") && result.out().contains("txn=id-2\ttimeout=800000\thost=9"),
+                result.out());
     }
 
     @Test
@@ -75,36 +78,40 @@
             {"ROUND\tat_time=1\nMAIL\tbalancer=3\tfrom=1\tcontent=%%\n", "line 2: MAIL: content"},
             {"ROUND\tat_time=1\n", "FLUSH"},
         };
-        for (String[] c : cases) {
-            Result r = run(c[0]);
-            assertEquals(2, r.status(), c[0]);
-            assertEquals("", r.out(), c[0]);
-            assertTrue(r.err().contains(c[1]) && r.err().lines().count() == 1, r.err());
+        for (String[] testCase : cases) {
+            Result result = run(testCase[0]);
+            assertEquals(2, result.status(), testCase[0]);
+            assertEquals("", result.out(), testCase[0]);
+            assertTrue(
+                    result.err().contains(testCase[1]) && result.err().lines().count() == 1, result.err());
         }
     }
 
     @Test
     void invalidSettingsStopOnlyTheInstance() throws IOException {
-        Result r = run("ROUND\tat_time=1\n" + ATTACH.replace("siblings=1", "siblings=0") + "FLUSH\n");
-        assertEquals(0, r.status());
-        assertTrue(r.out().contains("BAIL_OUT\tbalancer=3\twhat=") && r.out().endsWith("READY\n"), r.out());
-        assertTrue(r.err().contains("IllegalArgumentException"), r.err());
+        Result result = run("ROUND\tat_time=1\n" + ATTACH.replace("siblings=1", "siblings=0") + "FLUSH\n");
+        assertEquals(0, result.status());
+        assertTrue(
+                result.out().contains("BAIL_OUT\tbalancer=3\twhat=")
+                        && result.out().endsWith("READY\n"),
+                result.out());
+        assertTrue(result.err().contains("IllegalArgumentException"), result.err());
     }
 
     @Test
     void corruptedInputYieldsCompleteRepliesAndADocumentedExitStatus() throws IOException {
-        byte[] good = ("ROUND\tat_time=1\n" + ATTACH + LIST + REQUEST + "FLUSH\nROUND\tat_time=9000\n"
+        byte[] validInput = ("ROUND\tat_time=1\n" + ATTACH + SERVER_LIST + REQUEST + "FLUSH\nROUND\tat_time=9000\n"
                         + "WAKEUP\tbalancer=3\tkey_back=1\nFLUSH\n")
                 .getBytes(StandardCharsets.UTF_8);
         Random random = new Random(3);
         for (int round = 0; round < 3_000; round++) {
-            byte[] bad = java.util.Arrays.copyOf(good, 1 + random.nextInt(good.length));
+            byte[] corrupted = java.util.Arrays.copyOf(validInput, 1 + random.nextInt(validInput.length));
             for (int i = random.nextInt(4); i > 0; i--) {
-                bad[random.nextInt(bad.length)] = (byte) "\t\n=x9-".charAt(random.nextInt(6));
+                corrupted[random.nextInt(corrupted.length)] = (byte) "\t\n=x9-".charAt(random.nextInt(6));
             }
-            Result r = run(bad);
-            assertTrue(r.status() == 0 || r.status() == 2, "status " + r.status());
-            assertTrue(r.out().isEmpty() || r.out().endsWith("READY\n"), r.out());
+            Result result = run(corrupted);
+            assertTrue(result.status() == 0 || result.status() == 2, "status " + result.status());
+            assertTrue(result.out().isEmpty() || result.out().endsWith("READY\n"), result.out());
         }
     }
 }
