--- a/balancer/src/main/java/merlinstep/simhost/SettingsParser.java
+++ b/balancer/src/main/java/merlinstep/simhost/SettingsParser.java
@@ -45,9 +45,8 @@
         List<RequestClass> classes = new ArrayList<>();
         for (int i = 0; i < getLong("classes.count", 0); i++) {
             String prefix = "classes." + i + ".";
-            Effect effect =
-                    getChoice(prefix + "effect", Effect.UNSAFE, "retryable", Effect.SAFE, "dedup", Effect.KEYED);
-            Group group = getChoice(prefix + "group", Group.CELL, "all", Group.ALL, "zone", Group.ZONE);
+            Effect effect = getEnum(prefix + "effect", Effect.UNSAFE, "retryable", Effect.SAFE, "dedup", Effect.KEYED);
+            Group group = getEnum(prefix + "group", Group.CELL, "all", Group.ALL, "zone", Group.ZONE);
             classes.add(new RequestClass(
                     getRequired(prefix + "name"),
                     getLong(prefix + "on_time", 0),
@@ -80,10 +79,9 @@
                 (int) getLong("layer", 0),
                 classes,
                 tenants,
-                getChoice(
-                        "membership_mode", Membership.PUSH, "subscribe", Membership.ASK, "automatic", Membership.PUSH),
+                getEnum("membership_mode", Membership.PUSH, "subscribe", Membership.ASK, "automatic", Membership.PUSH),
                 new Origin(
-                        getChoice("extra.mode", Mode.THROUGH, "aside", Mode.ASIDE, "through", Mode.THROUGH),
+                        getEnum("extra.mode", Mode.THROUGH, "aside", Mode.ASIDE, "through", Mode.THROUGH),
                         (int) getLong("extra.origin_kind", -1),
                         getDouble("extra.origin_fall_multiple", 0),
                         getLong("extra.origin_fall", 0)),
@@ -95,8 +93,7 @@
                         getDouble("scoring_mix.worst_window", 0),
                         getDouble("scoring_mix.worst_class", 0),
                         getDouble("scoring_mix.worst_tenant", 0)),
-                getChoice(
-                        "load_info.how", Reports.NONE, "inline", Reports.WITH_ANSWERS, "on_probe", Reports.WITH_PROBES),
+                getEnum("load_info.how", Reports.NONE, "inline", Reports.WITH_ANSWERS, "on_probe", Reports.WITH_PROBES),
                 getList("load_info.names"),
                 parseWeights(),
                 getString("counted_by", "request").equals("work"),
@@ -204,7 +201,7 @@
     }
 
     /** Returns the value whose name the field holds, or the default if it is absent or has another name. */
-    private <T> T getChoice(
+    private <T> T getEnum(
             String key, T defaultValue, String firstName, T firstValue, String secondName, T secondValue) {
         String name = getString(key, "");
         return name.equals(firstName) ? firstValue : name.equals(secondName) ? secondValue : defaultValue;
