--- a/balancer/src/main/java/merlinstep/simhost/Host.java
+++ b/balancer/src/main/java/merlinstep/simhost/Host.java
@@ -23,31 +23,36 @@
 import merlinstep.Decisions.State;
 import merlinstep.Decisions.TimerFired;
 
-/** The reply loop: reads rounds of events, hands each to its instance, writes the actions. It decides nothing. */
+/**
+ * Runs decision instances for the simulator over a line protocol: reads a round of messages from the input, delivers
+ * each event to the instance it addresses and writes the resulting actions when the round ends.
+ *
+ * <p>Malformed input ends the run; an exception in one instance stops only that instance. Not thread-safe.
+ */
 final class Host {
 
-    private static final int MALFORMED = 2;
-    private static final int PAGES = 16;
-    private static final int MOST_INSTANCES = 1 << 20;
-    private static final int BUFFER = 1 << 16;
+    private static final int EXIT_MALFORMED_INPUT = 2;
+    private static final int MAX_PAGES = 16;
+    private static final int MAX_INSTANCE_ID = 1 << 20;
+    private static final int INITIAL_BUFFER_BYTES = 1 << 16;
 
     private final InputStream in;
     private final OutputStream out;
     private final PrintStream errors;
-    private final Line line = new Line();
-    private final Words words = new Words();
+    private final ProtocolLine line = new ProtocolLine();
+    private final StringInterner interner = new StringInterner();
     private final Reply reply = new Reply();
-    private final List<List<Server>> pages = new ArrayList<>(Collections.nCopies(PAGES, null));
+    private final List<List<Server>> pages = new ArrayList<>(Collections.nCopies(MAX_PAGES, null));
     private Decisions[] instances = new Decisions[64];
-    private byte[] buffer = new byte[BUFFER];
-    private int filled;
-    private int at;
-    private long lines;
+    private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
+    private int bufferLimit;
+    private int position;
+    private long lineNumber;
     private boolean inRound;
-    private long now;
-    private int page;
-    private int entriesLeft;
-    private List<Server> entries;
+    private long nowMicros;
+    private int pageIndex;
+    private int remainingEntries;
+    private List<Server> pageEntries;
 
     Host(InputStream in, OutputStream out, PrintStream errors) {
         this.in = in;
@@ -55,211 +60,223 @@
         this.errors = errors;
     }
 
-    /** Runs to the end of input and gives the exit status. */
+    /**
+     * Processes rounds until the end of input.
+     *
+     * @return the exit status: 0, or 2 if the input was malformed
+     * @throws IOException if reading the input or writing the output fails
+     */
     int run() throws IOException {
         try {
-            while (next()) {
-                take();
+            while (readLine()) {
+                handleLine();
             }
             if (inRound) {
-                throw new MalformedLine("FLUSH", "missing at the end of input");
+                throw new MalformedLineException("FLUSH", "missing at the end of input");
             }
             return 0;
-        } catch (MalformedLine e) {
-            errors.println("line " + lines + ": " + e.getMessage());
-            return MALFORMED;
+        } catch (MalformedLineException e) {
+            errors.println("line " + lineNumber + ": " + e.getMessage());
+            return EXIT_MALFORMED_INPUT;
         }
     }
 
-    /** Sets the line object to the next line; false at the end of input. */
-    private boolean next() throws IOException {
-        int scan = at;
+    /**
+     * Reads the next line into {@link #line}, without its line terminator.
+     *
+     * @return false at the end of input
+     */
+    private boolean readLine() throws IOException {
+        int scan = position;
         while (true) {
-            while (scan < filled && buffer[scan] != '\n') {
+            while (scan < bufferLimit && buffer[scan] != '\n') {
                 scan++;
             }
-            if (scan < filled) {
-                lines++;
-                line.set(buffer, at, scan > at && buffer[scan - 1] == '\r' ? scan - 1 : scan);
-                at = scan + 1;
+            if (scan < bufferLimit) {
+                lineNumber++;
+                line.reset(buffer, position, scan > position && buffer[scan - 1] == '\r' ? scan - 1 : scan);
+                position = scan + 1;
                 return true;
             }
-            if (at > 0) {
-                System.arraycopy(buffer, at, buffer, 0, filled - at);
-                filled -= at;
-                scan -= at;
-                at = 0;
+            if (position > 0) {
+                System.arraycopy(buffer, position, buffer, 0, bufferLimit - position);
+                bufferLimit -= position;
+                scan -= position;
+                position = 0;
             }
-            if (filled == buffer.length) {
-                buffer = Arrays.copyOf(buffer, 2 * filled);
+            if (bufferLimit == buffer.length) {
+                buffer = Arrays.copyOf(buffer, 2 * bufferLimit);
             }
-            int read = in.read(buffer, filled, buffer.length - filled);
+            int read = in.read(buffer, bufferLimit, buffer.length - bufferLimit);
             if (read < 0) {
-                if (filled > 0) {
-                    lines++;
-                    line.set(buffer, 0, filled);
-                    throw new MalformedLine(line.message(), "cut off by the end of input");
+                if (bufferLimit > 0) {
+                    lineNumber++;
+                    line.reset(buffer, 0, bufferLimit);
+                    throw new MalformedLineException(line.messageType(), "truncated by the end of input");
                 }
                 return false;
             }
-            filled += read;
+            bufferLimit += read;
         }
     }
 
-    private void take() throws IOException {
+    private void handleLine() throws IOException {
         if (!inRound) {
-            if (!line.is("ROUND")) {
-                throw new MalformedLine(line.message(), "outside a round");
+            if (!line.hasType("ROUND")) {
+                throw new MalformedLineException(line.messageType(), "expected ROUND");
             }
-            now = line.number("at_time");
+            nowMicros = line.getLong("at_time");
             inRound = true;
-        } else if (entriesLeft > 0) {
-            entry();
-        } else if (line.is("FLUSH")) {
+        } else if (remainingEntries > 0) {
+            addPageEntry();
+        } else if (line.hasType("FLUSH")) {
             inRound = false;
-            reply.finish(out);
-        } else if (line.is("CLOSED_ATTEMPT")) {
-            decide(new AttemptEnded(
-                    line.text("txn"),
-                    line.small("copy", Integer.MAX_VALUE),
-                    line.number("host"),
-                    outcome(),
-                    line.number("latency", 0),
-                    line.flag("terminal"),
-                    (int) line.number("info", 0),
-                    line.report("gauge")));
-        } else if (line.is("INBOUND")) {
-            decide(new Request(
-                    line.text("txn"),
-                    line.neededWord("grade", words),
-                    line.word("project", words),
-                    line.has("route_key"),
-                    line.hex("route_key"),
-                    line.number("deadline"),
-                    line.number("estimate", 0),
-                    line.real("size", 0),
-                    line.flag("retry"),
-                    line.flag("is_write")));
-        } else if (line.is("MAIL")) {
-            decide(new PeerMessage(line.small("from", Integer.MAX_VALUE), line.base64("content")));
-        } else if (line.is("WAKEUP")) {
-            decide(new TimerFired(line.number("key_back")));
-        } else if (line.is("OPENED")) {
-            decide(new AnswerBegan(
-                    line.text("txn"),
-                    line.number("host"),
-                    line.number("latency", 0),
-                    line.small("copy", Integer.MAX_VALUE)));
-        } else if (line.is("CANCELLED_BY_CLIENT")) {
-            decide(new RequestGone(line.text("txn")));
-        } else if (line.is("SAMPLED")) {
-            decide(new Probed(line.number("host"), outcome(), line.number("latency", 0), line.report("gauge")));
-        } else if (line.is("PAGE")) {
-            page();
-        } else if (line.is("SYNC")) {
-            decide(new ServerList(listKind(), line.number("revision", 0), servers()));
-        } else if (line.is("ATTACH")) {
-            attach();
-        } else if (line.is("POWER_OFF")) {
-            int instance = line.small("balancer", MOST_INSTANCES);
-            if (instance < instances.length) {
-                instances[instance] = null;
+            reply.writeRound(out);
+        } else if (line.hasType("CLOSED_ATTEMPT")) {
+            deliver(new AttemptEnded(
+                    line.getString("txn"),
+                    line.getBoundedInt("copy", Integer.MAX_VALUE),
+                    line.getLong("host"),
+                    parseOutcome(),
+                    line.getLong("latency", 0),
+                    line.getBoolean("terminal"),
+                    (int) line.getLong("info", 0),
+                    line.getDoubles("gauge")));
+        } else if (line.hasType("INBOUND")) {
+            deliver(new Request(
+                    line.getString("txn"),
+                    line.getRequiredInterned("grade", interner),
+                    line.getInterned("project", interner),
+                    line.hasField("route_key"),
+                    line.getHex("route_key"),
+                    line.getLong("deadline"),
+                    line.getLong("estimate", 0),
+                    line.getDouble("size", 0),
+                    line.getBoolean("retry"),
+                    line.getBoolean("is_write")));
+        } else if (line.hasType("MAIL")) {
+            deliver(new PeerMessage(line.getBoundedInt("from", Integer.MAX_VALUE), line.getBase64("content")));
+        } else if (line.hasType("WAKEUP")) {
+            deliver(new TimerFired(line.getLong("key_back")));
+        } else if (line.hasType("OPENED")) {
+            deliver(new AnswerBegan(
+                    line.getString("txn"),
+                    line.getLong("host"),
+                    line.getLong("latency", 0),
+                    line.getBoundedInt("copy", Integer.MAX_VALUE)));
+        } else if (line.hasType("CANCELLED_BY_CLIENT")) {
+            deliver(new RequestGone(line.getString("txn")));
+        } else if (line.hasType("SAMPLED")) {
+            deliver(new Probed(
+                    line.getLong("host"), parseOutcome(), line.getLong("latency", 0), line.getDoubles("gauge")));
+        } else if (line.hasType("PAGE")) {
+            startPage();
+        } else if (line.hasType("SYNC")) {
+            deliver(new ServerList(parseListKind(), line.getLong("revision", 0), listedServers()));
+        } else if (line.hasType("ATTACH")) {
+            startInstance();
+        } else if (line.hasType("POWER_OFF")) {
+            int id = line.getBoundedInt("balancer", MAX_INSTANCE_ID);
+            if (id < instances.length) {
+                instances[id] = null;
             }
         } else {
-            throw new MalformedLine(line.message(), "unknown message");
+            throw new MalformedLineException(line.messageType(), "unknown message type");
         }
     }
 
-    private void attach() {
-        int instance = line.small("balancer", MOST_INSTANCES);
-        if (instance >= instances.length) {
-            instances = Arrays.copyOf(instances, Math.max(2 * instances.length, instance + 1));
+    private void startInstance() {
+        int id = line.getBoundedInt("balancer", MAX_INSTANCE_ID);
+        if (id >= instances.length) {
+            instances = Arrays.copyOf(instances, Math.max(2 * instances.length, id + 1));
         }
-        reply.open(instance);
+        reply.selectInstance(id);
         try {
-            instances[instance] = Decisions.start(new Conf(line).settings());
-        } catch (MalformedLine e) {
+            instances[id] = Decisions.start(new SettingsParser(line).parse());
+        } catch (MalformedLineException e) {
             throw e;
         } catch (RuntimeException e) {
-            failed(instance, e);
+            stopFailed(id, e);
         }
     }
 
-    /** An event for an instance that does not run, or runs no longer, is nobody's. */
-    private void decide(Event event) {
-        int instance = line.small("balancer", MOST_INSTANCES);
-        Decisions decisions = instance < instances.length ? instances[instance] : null;
+    /** Delivers an event to the instance that the line addresses; drops it if that instance is not running. */
+    private void deliver(Event event) {
+        int id = line.getBoundedInt("balancer", MAX_INSTANCE_ID);
+        Decisions decisions = id < instances.length ? instances[id] : null;
         if (decisions == null) {
             return;
         }
-        reply.open(instance);
+        reply.selectInstance(id);
         try {
-            decisions.decide(now, event, reply);
+            decisions.decide(nowMicros, event, reply);
         } catch (RuntimeException e) {
-            failed(instance, e);
+            stopFailed(id, e);
         }
     }
 
-    private void failed(int instance, RuntimeException e) {
+    /** Stops an instance after an exception: logs the stack trace and reports the failure to the simulator. */
+    private void stopFailed(int id, RuntimeException e) {
         e.printStackTrace(errors);
-        instances[instance] = null;
-        reply.bailOut(e.toString());
+        instances[id] = null;
+        reply.addInstanceFailure(e.toString());
     }
 
-    private void page() {
-        page = line.small("page", PAGES - 1);
-        entriesLeft = line.small("rows", Integer.MAX_VALUE);
-        entries = new ArrayList<>();
-        pages.set(page, entries);
+    private void startPage() {
+        pageIndex = line.getBoundedInt("page", MAX_PAGES - 1);
+        remainingEntries = line.getBoundedInt("rows", Integer.MAX_VALUE);
+        pageEntries = new ArrayList<>();
+        pages.set(pageIndex, pageEntries);
     }
 
-    private void entry() {
-        if (!line.is("ENTRY")) {
-            throw new MalformedLine(line.message(), "where an ENTRY is due");
+    private void addPageEntry() {
+        if (!line.hasType("ENTRY")) {
+            throw new MalformedLineException(line.messageType(), "expected ENTRY");
         }
-        entries.add(new Server(
-                line.number("host"),
-                line.real("size", 1),
-                line.neededWord("shape", words),
-                state(),
-                line.word("rack_zone", words),
-                line.number("boot_time", 0),
-                (int) line.number("block", 0)));
-        entriesLeft--;
+        pageEntries.add(new Server(
+                line.getLong("host"),
+                line.getDouble("size", 1),
+                line.getRequiredInterned("shape", interner),
+                parseServerState(),
+                line.getInterned("rack_zone", interner),
+                line.getLong("boot_time", 0),
+                (int) line.getLong("block", 0)));
+        remainingEntries--;
     }
 
-    private List<Server> servers() {
-        if (listKind() == ListKind.FAILED) {
+    /** Returns the servers of the page that the line refers to; none for a failed list. */
+    private List<Server> listedServers() {
+        if (parseListKind() == ListKind.FAILED) {
             return List.of();
         }
-        List<Server> servers = pages.get(line.small("page", PAGES - 1));
+        List<Server> servers = pages.get(line.getBoundedInt("page", MAX_PAGES - 1));
         if (servers == null) {
-            throw new MalformedLine(line.message(), "page");
+            throw new MalformedLineException(line.messageType(), "page");
         }
         return servers;
     }
 
-    private State state() {
-        return switch (line.neededWord("stage_state", words)) {
+    private State parseServerState() {
+        return switch (line.getRequiredInterned("stage_state", interner)) {
             case "live" -> State.RUNNING;
             case "quiescing" -> State.DRAINING;
             case "dead" -> State.GONE;
-            default -> throw new MalformedLine(line.message(), "stage_state");
+            default -> throw new MalformedLineException(line.messageType(), "stage_state");
         };
     }
 
-    private ListKind listKind() {
-        return switch (line.neededWord("kind", words)) {
+    private ListKind parseListKind() {
+        return switch (line.getRequiredInterned("kind", interner)) {
             case "delta" -> ListKind.CHANGES;
             case "full" -> ListKind.WHOLE;
             case "cached" -> ListKind.LAST_KNOWN;
             case "failed" -> ListKind.FAILED;
-            default -> throw new MalformedLine(line.message(), "kind");
+            default -> throw new MalformedLineException(line.messageType(), "kind");
         };
     }
 
-    private Outcome outcome() {
-        return switch (line.neededWord("how", words)) {
+    private Outcome parseOutcome() {
+        return switch (line.getRequiredInterned("how", interner)) {
             case "GOOD" -> Outcome.SERVED;
             case "BAD" -> Outcome.ERROR;
             case "FULL" -> Outcome.FULL;
@@ -269,7 +286,7 @@
             case "CXL" -> Outcome.CANCELLED;
             case "NOP" -> Outcome.NOT_SENT;
             case "MISS" -> Outcome.MISS;
-            default -> throw new MalformedLine(line.message(), "how");
+            default -> throw new MalformedLineException(line.messageType(), "how");
         };
     }
 }
