--- a/balancer/src/main/java/merlinstep/PeerStatus.java
+++ b/balancer/src/main/java/merlinstep/PeerStatus.java
@@ -26,8 +26,8 @@
                 .put(VERSION)
                 .putShort((short) incarnation)
                 .putInt(sequence);
-        for (int values : new int[] {period, positionMillis, fetched, queue, credits, draw, outstanding}) {
-            buffer.putShort((short) Math.min(values, 0xffff));
+        for (int value : new int[] {period, positionMillis, fetched, queue, credits, draw, outstanding}) {
+            buffer.putShort((short) Math.min(value, 0xffff));
         }
         return buffer.putFloat(weight)
                 .putFloat(allowance)
