--- a/balancer/src/main/java/merlinstep/Cache.java
+++ b/balancer/src/main/java/merlinstep/Cache.java
@@ -1,25 +1,39 @@
 package merlinstep;
 
-/** A server of the list, and what this balancer saw of it. */
+/** A listed server, cache or origin, with its health and load as this balancer sees them. */
 final class Cache {
     final long id;
     final boolean origin;
     String kind;
     Zone zone;
     int cell;
+    /** Attempts of this balancer without an outcome. */
     int outstanding;
+    /** Outstanding attempts of the other balancers, as last reported. */
     int outstandingElsewhere;
+    /** Attempts sent since the last answer. */
     int unanswered;
+
     boolean running;
+    /** Whether the server is out of use until a trial succeeds. */
     boolean suspect;
+
     double size;
+    /** Attempts sent, decaying. */
     double recentSent;
+    /** Work completed in units of hits, decaying. */
     double recentWork;
+    /** Attempts that may be sent while the cache is cold. */
     double tokens;
+    /** Moving average of the fraction of answers that are errors. */
     double errorRate;
+    /** Part of its slots that the cache serves, relative to the largest warm cache. */
     double part = 1;
+
     double concurrencyLimit = Rules.INITIAL_CONCURRENCY_LIMIT;
+    /** Mean backoff after a FULL answer; doubles with each. */
     long waitMicros;
+
     long backoffUntilMicros;
     long startedMicros;
     long nextTrialMicros;
@@ -32,7 +46,7 @@
         this.origin = origin;
     }
 
-    /** Takes over what the list says. */
+    /** Applies an entry of the server list; a restart clears the error rate. */
     void update(Decisions.Server server, Zone newZone) {
         kind = server.kind() == null ? "" : server.kind();
         zone = newZone;
@@ -44,6 +58,7 @@
         running = server.state() == Decisions.State.RUNNING;
     }
 
+    /** Counts an attempt that is being sent. */
     void recordSent(long nowMicros) {
         recentSent++;
         tokens--;
@@ -53,7 +68,7 @@
         }
     }
 
-    /** It answered something, so it and the way to it work. */
+    /** Records an answer of any kind, which shows that the server and its zone are reachable. */
     void recordAnswer(long nowMicros) {
         unanswered = 0;
         silentSinceMicros = nowMicros;
@@ -64,21 +79,23 @@
         }
     }
 
-    /** What is out here from all balancers, as far as they told. */
+    /** Returns the outstanding attempts of all balancers, as far as reported. */
     int load() {
         return outstanding + outstandingElsewhere;
     }
 
-    /** Moves the part of its answers that are errors. */
+    /** Updates the error rate with one answer. */
     void updateErrorRate(boolean failed) {
         errorRate += ((failed ? 1 : 0) - errorRate) / Rules.ERROR_RATE_WINDOW_ANSWERS;
     }
 
+    /** Takes the server out of use. */
     void markSuspect() {
         zone.suspects += suspect ? 0 : 1;
         suspect = true;
     }
 
+    /** Returns a suspected server to use. */
     void restore() {
         if (suspect) {
             suspect = false;
@@ -87,9 +104,9 @@
         }
     }
 
-    /** A zone as seen from here; {@code down} while nothing in it can be reached. */
+    /** Reachability of a zone; {@code down} while none of its servers answers. */
     static final class Zone {
-        /** Half of the least, so that a difference from it does not overflow. */
+        /** Halved, so that differences from it do not overflow. */
         long heardMicros = Long.MIN_VALUE / 2;
 
         int suspects;
--- a/balancer/src/main/java/merlinstep/CacheLoads.java
+++ b/balancer/src/main/java/merlinstep/CacheLoads.java
@@ -7,23 +7,24 @@
 import java.util.Map;
 
 /**
- * What a balancer has out at each cache, as it follows the figures in a message: for each cache two bytes of its id's hash
- * and one of the count. Two caches with one hash both seem as loaded as the two together, which among a hundred is rare.
+ * Codec of a balancer's outstanding attempts per cache, which follow its {@link PeerStatus} in a message: two bytes of
+ * a hash of the cache's id and one of the count. Caches with the same hash each count the load of both, which is rare.
  */
 final class CacheLoads {
     static final byte[] NONE = {};
-    /** Bytes of the longest message there may be; the price of messages is that of such a one for each request. */
+    /** Largest message in bytes, by which the price of messages is defined. */
     static final int MAX_BYTES = 256;
-    /** What such a message has left beside the figures. */
+    /** Entries that fit in a message beside the state. */
     private static final int MAX_ENTRIES = (MAX_BYTES - PeerStatus.BYTES) / 3;
 
     private CacheLoads() {}
 
+    /** Returns the hash that stands for a cache. */
     static int tag(long id) {
         return (int) (Hash.mix(id) & 0xffff);
     }
 
-    /** The most loaded first, should there be too many for a message. */
+    /** Encodes the loaded caches, the most loaded ones if they don't all fit. */
     static byte[] encode(List<Cache> caches) {
         List<Cache> busy = new ArrayList<>();
         for (Cache cache : caches) {
@@ -39,7 +40,7 @@
         return buffer.array();
     }
 
-    /** Adds what another balancer told to what is out at each cache elsewhere. */
+    /** Adds another balancer's loads to {@link Cache#outstandingElsewhere}. */
     static void add(byte[] loads, Map<Integer, Cache> cachesByTag) {
         ByteBuffer buffer = ByteBuffer.wrap(loads);
         while (buffer.remaining() >= 3) {
--- a/balancer/src/main/java/merlinstep/KeyCounts.java
+++ b/balancer/src/main/java/merlinstep/KeyCounts.java
@@ -1,6 +1,6 @@
 package merlinstep;
 
-/** Counts keys in fixed space: two rows of counters, of which the lower is the better guess. */
+/** Count-min sketch of the requests per key, with two rows and decay by halving. */
 final class KeyCounts {
 
     private final int[] counters;
@@ -13,7 +13,7 @@
         counters = new int[2 * rowSize];
     }
 
-    /** Counts one more request for the key, and gives the part of all requests that others for it were. */
+    /** Counts a request and returns the estimated fraction of all requests that earlier ones for its key are. */
     double add(long key) {
         long hash = Hash.mix(key ^ 0x5bd1e995L);
         int first = (int) (hash & rowSize - 1);
@@ -24,12 +24,12 @@
         return (Math.min(counters[first], counters[second]) - 1) / total;
     }
 
-    /** All that was counted, less what was forgotten. */
+    /** Returns the number of requests, after decay. */
     double total() {
         return total;
     }
 
-    /** Forgets half of what was counted. */
+    /** Halves all counts. */
     void halve() {
         total /= 2;
         for (int i = 0; i < counters.length; i++) {
--- a/balancer/src/main/java/merlinstep/Peer.java
+++ b/balancer/src/main/java/merlinstep/Peer.java
@@ -1,24 +1,24 @@
 package merlinstep;
 
-/** A balancer as last heard; for this one, what it last told. */
+/** State last received from a balancer; for this balancer, the state last sent. */
 final class Peer {
     PeerStatus state = PeerStatus.NONE;
-    /** What was said when its answers were last counted. */
+    /** State at the end of the last period, from which its answers are counted. */
     PeerStatus countedState = PeerStatus.NONE;
 
     boolean fresh;
     long heardMicros = Long.MIN_VALUE;
     int incarnation;
     int sequence;
-    /** What it last told to have out at each cache. */
+    /** Encoded {@link CacheLoads} of its last message. */
     byte[] loads = CacheLoads.NONE;
 
-    /** Its estimate of X; no bound while it is silent or has learnt none. */
+    /** Returns its estimate of X; {@code Double.MAX_VALUE} if it is silent or has none. */
     double allowance() {
         return fresh && state.allowance() > 0 ? state.allowance() : Double.MAX_VALUE;
     }
 
-    /** Takes over a message; the counts of a restarted balancer begin anew. */
+    /** Stores a message; the counts of a restarted balancer start from it. */
     void store(int newIncarnation, int newSequence, long nowMicros, PeerStatus newState, byte[] newLoads) {
         if (heardMicros == Long.MIN_VALUE || newIncarnation != incarnation) {
             countedState = newState;
--- a/balancer/src/main/java/merlinstep/PeerStatus.java
+++ b/balancer/src/main/java/merlinstep/PeerStatus.java
@@ -2,7 +2,18 @@
 
 import java.nio.ByteBuffer;
 
-/** What a balancer says of itself; counts of answers run from its start, so that a lost message loses none. */
+/**
+ * State that a balancer sends to its peers. Answers, latency and failures are totals since its start, so that a lost
+ * message loses no counts.
+ *
+ * @param period number of the period, modulo 65536
+ * @param fetched fetches in this period
+ * @param queue queued misses and writes
+ * @param weight summed weight of the queue (equation 6)
+ * @param draw random number that orders the return of the surplus (equation 9)
+ * @param outstanding outstanding fetches
+ * @param allowance estimate of X; 0 if none
+ */
 record PeerStatus(
         int period,
         int positionMillis,
@@ -21,6 +32,7 @@
     private static final int MAX_POSITION_MILLIS = 10_000;
     static final PeerStatus NONE = new PeerStatus(0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0);
 
+    /** Returns a message with this state and the loads of caches. */
     byte[] encode(int incarnation, int sequence, byte[] loads) {
         ByteBuffer buffer = ByteBuffer.allocate(BYTES + loads.length)
                 .put(VERSION)
@@ -38,6 +50,7 @@
                 .array();
     }
 
+    /** Reads a state; the buffer is positioned after version, incarnation and sequence. */
     static PeerStatus decode(ByteBuffer buffer) {
         int[] values = new int[7];
         for (int i = 0; i < values.length; i++) {
@@ -59,6 +72,7 @@
                 buffer.getInt());
     }
 
+    /** Returns whether all values are in range. */
     boolean isPlausible() {
         return weight >= 0
                 && weight < 1e9
