--- a/balancer/src/test/java/merlinstep/ColdRampTest.java
+++ b/balancer/src/test/java/merlinstep/ColdRampTest.java
@@ -27,21 +27,21 @@
  */
 public class ColdRampTest {
 
-    private static final int STEP = 10_000;
-    private static final long ANSWER = 60_000;
+    private static final int STEP_MICROS = 10_000;
+    private static final long ANSWER_MICROS = 60_000;
     private static final int CACHES = 8;
     /** Calls a second that a warm cache takes in quiet times. */
-    private static final double USUAL = 20;
+    private static final double NORMAL_RATE = 20;
 
-    private static final double CAPACITY = USUAL / 0.55;
+    private static final double CAPACITY = NORMAL_RATE / 0.55;
     /** A cold cache has 0.13 of that at first, is warm after 23 s, and falls after 3 s of 1.5 times what it can do. */
     private static final RuleFigures RULES =
             new RuleFigures(20_000, 500_000, 10_000_000, 0.13, 23_000_000, 1.5, 3_000_000);
 
-    private record Later(long at, int number, Runnable what) {}
+    private record Scheduled(long at, int number, Runnable task) {}
 
     /** What befalls the tier. */
-    private enum Trouble {
+    private enum Fault {
         NONE,
         BURST,
         RESTARTED,
@@ -51,45 +51,47 @@
     }
 
     private final List<Timeline> tier = new ArrayList<>();
-    private final PriorityQueue<Later> later =
-            new PriorityQueue<>(Comparator.comparingLong(Later::at).thenComparingInt(Later::number));
+    private final PriorityQueue<Scheduled> scheduled =
+            new PriorityQueue<>(Comparator.comparingLong(Scheduled::at).thenComparingInt(Scheduled::number));
     private final List<Deque<Long>> sent = new ArrayList<>();
-    private Random chance;
-    private Trouble trouble;
+    private Random random;
+    private Fault fault;
     private long started;
     private int cold;
-    private int number;
-    private double most;
+    private int nextNumber;
+    private double worstWindow;
 
     private long now() {
         return tier.get(0).now;
     }
 
-    private void after(long micros, Runnable what) {
-        later.add(new Later(now() + micros, number++, what));
+    private void schedule(long micros, Runnable task) {
+        scheduled.add(new Scheduled(now() + micros, nextNumber++, task));
     }
 
-    private void act(int me, List<Action> actions) {
+    private void act(int balancer, List<Action> actions) {
         for (Action action : actions) {
             if (action instanceof Send send) {
                 boolean toCold = started > 0 && send.server() <= cold;
                 if (toCold) {
                     count((int) send.server());
                 }
-                if (toCold && trouble == Trouble.SILENT) {
+                if (toCold && fault == Fault.SILENT) {
                     long left = send.timeoutMicros() > 0 ? send.timeoutMicros() : 1_400_000;
-                    after(left, () -> act(me, tier.get(me).end(send, Outcome.TIMED_OUT)));
+                    schedule(left, () -> act(balancer, tier.get(balancer).end(send, Outcome.TIMED_OUT)));
                 } else {
-                    boolean miss = toCold && trouble == Trouble.MISSES;
-                    after(
-                            miss ? ANSWER / 3 : ANSWER,
-                            () -> act(me, tier.get(me).end(send, miss ? Outcome.MISS : Outcome.SERVED)));
+                    boolean miss = toCold && fault == Fault.MISSES;
+                    schedule(
+                            miss ? ANSWER_MICROS / 3 : ANSWER_MICROS,
+                            () -> act(balancer, tier.get(balancer).end(send, miss ? Outcome.MISS : Outcome.SERVED)));
                 }
-            } else if (action instanceof TellPeer told) {
+            } else if (action instanceof TellPeer message) {
                 for (int to = 0; to < tier.size(); to++) {
                     int peer = to;
-                    if (peer != me) {
-                        after(8_000, () -> act(peer, tier.get(peer).event(new PeerMessage(me, told.content()))));
+                    if (peer != balancer) {
+                        schedule(
+                                8_000,
+                                () -> act(peer, tier.get(peer).event(new PeerMessage(balancer, message.content()))));
                     }
                 }
             }
@@ -104,21 +106,21 @@
             calls.poll();
         }
         double age = Math.min(1, (double) (now() - started) / RULES.coldMicros());
-        double part = RULES.coldCapacity() + (1 - RULES.coldCapacity()) * age;
-        double n = RULES.fallMultiple() * CAPACITY * part * RULES.fallMicros() / 1e6;
-        most = Math.max(most, calls.size() / (n + 2 * Math.sqrt(n) + 2));
+        double capacity = RULES.coldCapacity() + (1 - RULES.coldCapacity()) * age;
+        double allowed = RULES.fallMultiple() * CAPACITY * capacity * RULES.fallMicros() / 1e6;
+        worstWindow = Math.max(worstWindow, calls.size() / (allowed + 2 * Math.sqrt(allowed) + 2));
     }
 
     /** The most that cold caches were sent in a window, against what is allowed. */
-    private double most(int balancers, Trouble what, long seed) {
+    private double worstRatio(int balancers, Fault newFault, long seed) {
         tier.clear();
-        later.clear();
+        scheduled.clear();
         sent.clear();
-        chance = new Random(seed);
-        trouble = what;
+        random = new Random(seed);
+        fault = newFault;
         started = 0;
-        most = 0;
-        cold = what == Trouble.HALF_REPLACED ? CACHES / 2 : 1;
+        worstWindow = 0;
+        cold = newFault == Fault.HALF_REPLACED ? CACHES / 2 : 1;
         for (int c = 0; c <= CACHES; c++) {
             sent.add(new ArrayDeque<>());
         }
@@ -127,23 +129,23 @@
         }
         run(6, 1);
         started = now();
-        List<Server> fresh = new ArrayList<>();
+        List<Server> coldCaches = new ArrayList<>();
         for (int c = 1; c <= cold; c++) {
-            fresh.add(Timeline.cache(c, State.RUNNING, started));
+            coldCaches.add(Timeline.cache(c, State.RUNNING, started));
         }
-        if (what == Trouble.RESTARTED) {
-            later.clear();
+        if (newFault == Fault.RESTARTED) {
+            scheduled.clear();
             for (int i = 0; i < balancers; i++) {
                 tier.set(i, start(i, balancers, started));
             }
         }
         for (Timeline t : tier) {
-            t.list(ListKind.CHANGES, fresh);
+            t.list(ListKind.CHANGES, coldCaches);
         }
         run(3, 1);
-        run(2, what == Trouble.BURST ? 5 : 1);
+        run(2, newFault == Fault.BURST ? 5 : 1);
         run(4, 1);
-        return most;
+        return worstWindow;
     }
 
     private static Timeline start(int index, int balancers, long at) {
@@ -152,19 +154,19 @@
         return t;
     }
 
-    private void run(int seconds, double times) {
-        double each = times * USUAL * CACHES / tier.size() * STEP / 1e6;
+    private void run(int seconds, double factor) {
+        double each = factor * NORMAL_RATE * CACHES / tier.size() * STEP_MICROS / 1e6;
         for (long end = now() + seconds * Timeline.SECOND; now() < end; ) {
             for (int i = 0; i < tier.size(); i++) {
-                act(i, tier.get(i).pass(STEP));
+                act(i, tier.get(i).pass(STEP_MICROS));
             }
-            while (!later.isEmpty() && later.peek().at() <= now()) {
-                later.poll().what().run();
+            while (!scheduled.isEmpty() && scheduled.peek().at() <= now()) {
+                scheduled.poll().task().run();
             }
             for (int i = 0; i < tier.size(); i++) {
                 for (double left = each; left > 0; left--) {
-                    if (chance.nextDouble() < left) {
-                        act(i, tier.get(i).read("r" + number++, Hash.mix(chance.nextInt(20_000) + 1)));
+                    if (random.nextDouble() < left) {
+                        act(i, tier.get(i).read("r" + nextNumber++, Hash.mix(random.nextInt(20_000) + 1)));
                     }
                 }
             }
@@ -172,17 +174,17 @@
     }
 
     @Test
-    public void theRampHoldsForTheFleetWhateverItsSize() {
+    public void coldCachesAreNotOverloadedByTiersOfAnySize() {
         StringBuilder table = new StringBuilder();
         boolean all = true;
-        for (Trouble what : Trouble.values()) {
+        for (Fault tested : Fault.values()) {
             for (int balancers : new int[] {1, 4, 20, 30, 100}) {
                 double worst = 0;
                 for (long seed = 1; seed <= 3; seed++) {
-                    worst = Math.max(worst, most(balancers, what, 100 * balancers + seed));
+                    worst = Math.max(worst, worstRatio(balancers, tested, 100 * balancers + seed));
                 }
                 all &= worst <= 1;
-                table.append(what)
+                table.append(tested)
                         .append(' ')
                         .append(balancers)
                         .append(" balancers: ")
--- a/balancer/src/test/java/merlinstep/RulesTest.java
+++ b/balancer/src/test/java/merlinstep/RulesTest.java
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void onlyTheKeysOfALostCacheMove() {
+    void onlyKeysOfARemovedCacheMove() {
         Timeline t = Timeline.with(0, 1, 10);
         Map<Long, Long> before = owners(t, 1_000);
         t.list(ListKind.CHANGES, List.of(cache(3, State.GONE, 0)));
@@ -76,14 +76,14 @@
     }
 
     @Test
-    void aDrainingCacheGetsNothingFromTheMomentItIsTold() {
+    void aDrainingCacheGetsNoRequests() {
         Timeline t = Timeline.with(0, 1, 4);
         t.list(ListKind.CHANGES, List.of(cache(2, State.DRAINING, 0)));
         assertTrue(owners(t, 500).values().stream().noneMatch(c -> c == 2));
     }
 
     @Test
-    void aCacheMissingFromAWholeListIsGone() {
+    void aCacheMissingFromAWholeListIsRemoved() {
         Timeline t = Timeline.with(0, 1, 4);
         t.list(ListKind.WHOLE, servers(3));
         assertTrue(owners(t, 500).values().stream().noneMatch(c -> c == 4));
@@ -95,7 +95,7 @@
     }
 
     @Test
-    void aColdCacheTakesFewerSlotsAtFirst() {
+    void aColdCacheGetsFewerSlots() {
         Timeline t = Timeline.with(0, 1, 4);
         owners(t, 200);
         t.list(ListKind.CHANGES, List.of(cache(4, State.RUNNING, t.now)));
@@ -106,7 +106,7 @@
     }
 
     @Test
-    void aMissBuysOneFetchAndTheRestAskTheCacheAfterIt() {
+    void concurrentMissesOfAKeyShareOneFetch() {
         Timeline t = Timeline.with(0, 1, 3);
         Send first = onlySend(t.read("a", 7));
         Send second = onlySend(t.read("b", 7));
@@ -119,7 +119,7 @@
     }
 
     @Test
-    void anotherFetchIsBoughtWhenTheFirstFails() {
+    void aFailedFetchIsRetried() {
         Timeline t = Timeline.with(0, 1, 3);
         Send ask = onlySend(t.read("a", 7));
         Send fetch = onlySend(t.end(ask, Outcome.MISS));
@@ -141,7 +141,7 @@
     }
 
     @Test
-    void anEmptyListHoldsAndThenRefuses() {
+    void requestsWithoutServersAreHeldAndThenRefused() {
         Timeline t = new Timeline(Timeline.settings(0, 1, 6), 0);
         t.list(ListKind.LAST_KNOWN, List.of());
         t.read("a", 7);
@@ -150,7 +150,7 @@
     }
 
     @Test
-    void aTryWithLessTimeThanATickIsAnsweredAtOnce() {
+    void aRequestWithLessTimeThanATickIsRefusedAtOnce() {
         // Danger: held until the next tick it would be lost.
         Timeline t = new Timeline(Timeline.settings(0, 1, 6), 0);
         t.list(ListKind.LAST_KNOWN, List.of());
@@ -159,7 +159,7 @@
     }
 
     @Test
-    void fullAnswersAreNotAskedOnAtOnce() {
+    void fullAnswersAreNotRetriedAtOnce() {
         // Danger: a storm over all caches.
         Timeline t = Timeline.with(0, 1, 5);
         Send ask = onlySend(t.read("a", 7));
@@ -168,13 +168,13 @@
     }
 
     @Test
-    void aSilentCacheIsLeftAndItsRequestsGoElsewhere() {
+    void requestsAtASilentCacheAreCancelledAndSentElsewhere() {
         Timeline t = Timeline.with(0, 1, 2);
-        List<Send> stuck = new ArrayList<>();
-        for (int i = 0; stuck.size() < 4; i++) {
+        List<Send> unanswered = new ArrayList<>();
+        for (int i = 0; unanswered.size() < 4; i++) {
             Send send = onlySend(t.read("r" + i, Hash.mix(i + 1)));
             if (send.server() == 1) {
-                stuck.add(send);
+                unanswered.add(send);
             } else {
                 t.end(send, Outcome.SERVED);
             }
@@ -185,21 +185,21 @@
         t.end(other, Outcome.SERVED);
         List<Cancel> cancels = of(t.pass(100_000), Cancel.class);
         assertEquals(4, cancels.size());
-        assertEquals(2, onlySend(t.end(stuck.get(0), Outcome.CANCELLED)).server());
+        assertEquals(2, onlySend(t.end(unanswered.get(0), Outcome.CANCELLED)).server());
     }
 
     @Test
-    void aCacheThatFailsMostRequestsIsLeftAndUsedAgainWhenItServes() {
+    void aFailingCacheIsAvoidedUntilItServesAgain() {
         // Danger: it answers at once and so looks idle; seen were requests that spent all their tries on it.
         Timeline t = Timeline.with(0, 1, 4);
         int[] asked = new int[2];
         for (int i = 0; i < 1_200; i++) {
-            boolean well = i >= 400;
+            boolean healthy = i >= 400;
             List<Send> sends = sends(t.read("r" + i, Hash.mix(i + 1)));
             for (int tries = 0; !sends.isEmpty() && tries < 6; tries++) {
-                boolean bad = sends.get(0).server() == 1;
-                asked[well ? 1 : 0] += bad ? 1 : 0;
-                sends = sends(t.end(sends.get(0), bad && !well ? Outcome.ERROR : Outcome.SERVED));
+                boolean failing = sends.get(0).server() == 1;
+                asked[healthy ? 1 : 0] += failing ? 1 : 0;
+                sends = sends(t.end(sends.get(0), failing && !healthy ? Outcome.ERROR : Outcome.SERVED));
             }
             t.pass(20_000);
         }
@@ -208,7 +208,7 @@
     }
 
     @Test
-    void theKeysOfACacheThatTurnsAllAwayGoToTheNextOne() {
+    void keysOfACacheThatRefusesAllGoToTheNextOne() {
         Timeline t = Timeline.with(0, 1, 2);
         int turnedAway = 0;
         for (int i = 0; i < 60; i++) {
@@ -224,7 +224,7 @@
     }
 
     @Test
-    void whatWasNeverTriedIsRefusedWithinHalfOfItsTime() {
+    void aRequestWithoutAttemptIsRefusedWithinHalfOfItsTime() {
         // Danger: a client that waited longer for a refusal, with nothing tried, has lost that time too.
         Timeline t = Timeline.with(0, 1, 1);
         for (int i = 0; i < 16; i++) {
@@ -248,7 +248,7 @@
     }
 
     @Test
-    void manyBalancersTryALostCacheSeldomAndNotInStep() {
+    void trialsOfManyBalancersAreRareAndNotInStep() {
         // Danger: 63 of them, in step, pushed a cache over as it came back.
         List<Long> lastTrials = new ArrayList<>();
         for (int index = 0; index < 8; index++) {
@@ -274,7 +274,7 @@
     }
 
     @Test
-    void aZoneThatIsHeardAgainIsUsedAgainAtOnce() {
+    void aZoneThatAnswersAgainIsRestoredAtOnce() {
         // Danger: each server behind a healed link would wait for a trial of its own, up to seconds.
         Timeline t = Timeline.with(0, 1, 8);
         for (int i = 0; i < 600; i++) {
@@ -295,7 +295,7 @@
     }
 
     @Test
-    void anIdenticalTimelineGivesIdenticalActions() {
+    void identicalEventsGiveIdenticalActions() {
         List<List<Action>> runs = new ArrayList<>();
         for (int run = 0; run < 2; run++) {
             Timeline t = Timeline.with(1, 3, 6);
@@ -315,7 +315,7 @@
             value = Outcome.class,
             names = {"SERVED", "NOT_SENT"},
             mode = EnumSource.Mode.EXCLUDE)
-    void anUnsafeRequestIsRepeatedOrRefusedOnlyIfNothingRan(Outcome outcome) {
+    void anUnsafeRequestIsRetriedOrRefusedOnlyIfNothingRan(Outcome outcome) {
         Timeline t = Timeline.with(0, 1, 3);
         Send ask = onlySend(t.request("u", "once", 7, false));
         List<Action> after = new ArrayList<>(t.end(ask, outcome));
@@ -331,7 +331,7 @@
 
     @ParameterizedTest
     @CsvSource({"write, true", "zoned, false", "celled, false"})
-    void aKeyedRequestThatMayHaveRunIsRefusedOnlyIfAllDropItsRepeat(String kind, boolean refusable) {
+    void aKeyedRequestThatMayHaveRunIsRefusedOnlyIfAllServersDropRepeats(String kind, boolean refusable) {
         Timeline t = Timeline.with(0, 1, 3);
         Send sent = onlySend(t.request("w", kind, 7, true));
         assertEquals(ORIGIN, sent.server());
@@ -361,7 +361,7 @@
     }
 
     @Test
-    void attemptsNeverPassTheirMost() {
+    void attemptsPerRequestAreBounded() {
         Timeline t = new Timeline(Timeline.settings(0, 1, 3), 0);
         t.list(ListKind.LAST_KNOWN, servers(4));
         List<Send> open = new ArrayList<>(sends(t.read("a", 7)));
@@ -377,7 +377,7 @@
     }
 
     @Test
-    void everyRequestGetsOneAnswerThroughRandomTrouble() {
+    void everyRequestGetsOneAnswerUnderRandomOutcomes() {
         java.util.Random random = new java.util.Random(5);
         Timeline t = Timeline.with(0, 2, 6);
         Outcome[] outcomes = Outcome.values();
@@ -400,19 +400,19 @@
                 }
                 actions.addAll(t.end(send, outcome));
             }
-            note(actions, open, owed, answers);
+            collect(actions, open, owed, answers);
         }
         for (int rest = 0; rest < 8; rest++) {
             while (!open.isEmpty()) {
-                note(t.end(open.remove(0), Outcome.TIMED_OUT), open, owed, answers);
+                collect(t.end(open.remove(0), Outcome.TIMED_OUT), open, owed, answers);
             }
-            note(t.pass(SECOND), open, owed, answers);
+            collect(t.pass(SECOND), open, owed, answers);
         }
         assertEquals(Set.of(), owed);
         answers.forEach((id, n) -> assertEquals(1, n, id));
     }
 
-    private static void note(List<Action> actions, List<Send> open, Set<String> owed, Map<String, Integer> answers) {
+    private static void collect(List<Action> actions, List<Send> open, Set<String> owed, Map<String, Integer> answers) {
         open.addAll(sends(actions));
         List<String> ended = new ArrayList<>();
         of(actions, Refuse.class).forEach(a -> ended.add(a.request()));
@@ -433,7 +433,7 @@
     }
 
     @Test
-    void aClientThatLeftCostsNoFetch() {
+    void aDisconnectedClientCausesNoFetch() {
         Timeline t = Timeline.with(0, 1, 3);
         Send ask = onlySend(t.read("a", 7));
         t.event(new RequestGone("a"));
@@ -441,7 +441,7 @@
     }
 
     @Test
-    void peerMessagesThatCannotBeAreDropped() {
+    void malformedPeerMessagesAreDropped() {
         Timeline t = Timeline.with(0, 3, 3);
         for (byte[] content : new byte[][] {{}, {1, 2, 3}, new byte[PeerStatus.BYTES], new byte[256]}) {
             for (int from : new int[] {-1, 0, 3, 99, 1}) {
@@ -451,12 +451,12 @@
         assertTrue(!t.rules.peers.all[1].fresh && !t.rules.peers.all[2].fresh);
     }
 
-    private static byte[] message(int incarnation, int sequence, float x, int queue) {
+    private static byte[] statusMessage(int incarnation, int sequence, float x, int queue) {
         return new PeerStatus(0, 100, 0, queue, queue * 2f, 0, 5, 0, x, 0, 0, 0)
                 .encode(incarnation, sequence, CacheLoads.NONE);
     }
 
-    private static void tell(Timeline t, int from, int sequence, long cache, int out) {
+    private static void sendLoad(Timeline t, int from, int sequence, long cache, int out) {
         byte[] loads = ByteBuffer.allocate(3)
                 .putShort((short) CacheLoads.tag(cache))
                 .put((byte) out)
@@ -467,12 +467,12 @@
     }
 
     @Test
-    void aCacheThatOthersCrowdGivesUpSomeOfItsKeysAndTheSameOnesAtEachBalancer() {
+    void anOverloadedCacheGivesUpTheSameKeysAtEveryBalancer() {
         Timeline one = Timeline.with(0, 3, 6);
         Timeline other = Timeline.with(1, 3, 6);
         Map<Long, Long> before = owners(one, 600);
-        tell(one, 2, 1, 3, 12);
-        tell(other, 2, 1, 3, 12);
+        sendLoad(one, 2, 1, 3, 12);
+        sendLoad(other, 2, 1, 3, 12);
         Map<Long, Long> after = owners(one, 600);
         assertEquals(after, owners(other, 600));
         long kept = after.values().stream().filter(c -> c == 3).count();
@@ -484,28 +484,28 @@
     }
 
     /** Peers of a large fleet are heard, each with so many misses queued; one round takes the time given. */
-    private static void round(Timeline t, int balancers, int sequence, int queue, long micros) {
-        PeerStatus f = new PeerStatus(
+    private static void exchangeStates(Timeline t, int balancers, int sequence, int queue, long micros) {
+        PeerStatus status = new PeerStatus(
                 t.rules.ledger.period, t.rules.ledger.positionMillis(), 0, queue, 6.7f, 0, 5, 0, 100, 0, 0, 0);
         for (int from = 1; from < balancers; from++) {
-            t.event(new PeerMessage(from, f.encode(from, sequence, CacheLoads.NONE)));
+            t.event(new PeerMessage(from, status.encode(from, sequence, CacheLoads.NONE)));
         }
         t.pass(micros);
     }
 
     @Test
-    void whatComesByTurnsInALargeFleetIsKeptForTheNextMiss() {
+    void rotatingCreditsOfALargeTierAreSavedForTheNextMiss() {
         Timeline t = Timeline.with(0, 100, 3); // X is 100: a credit a second for each
         int fetched = 0;
         for (int i = 0; i < 20; i++) {
             for (int r = 0; r < 4; r++) {
-                round(t, 100, 5 * i + r + 1, 2, SECOND / 2);
+                exchangeStates(t, 100, 5 * i + r + 1, 2, SECOND / 2);
             }
             assertTrue(
                     t.rules.ledger.contended,
                     "round " + i + " X " + t.rules.budget.effectiveAllowance() + " " + t.rules.peers.refreshAndCount());
             t.end(onlySend(t.read("r" + i, 1000 + i)), Outcome.MISS);
-            round(t, 100, 5 * i + 5, 2, 250_000);
+            exchangeStates(t, 100, 5 * i + 5, 2, 250_000);
             List<Send> sends = sends(t.actions);
             if (sends.get(sends.size() - 1).server() != Timeline.ORIGIN) { // the cache is asked again first
                 t.end(sends.get(sends.size() - 1), Outcome.MISS);
@@ -523,7 +523,7 @@
 
     /** Danger: where the store can't take all, the oldest first means that each is fetched when its time is nearly over. */
     @Test
-    void ofKeysThatAreWorthTheSameTheNewestIsFetchedFirst() {
+    void theNewestOfEquallyWorthyKeysIsFetchedFirst() {
         Timeline t = Timeline.with(0, 1, 3);
         List<Send> fetches = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
@@ -541,7 +541,7 @@
     }
 
     @Test
-    void whatCannotBeBackInTimeIsRefusedAtOnceAndNeverSent() {
+    void readsWithTooLittleTimeAreRefusedAtOnce() {
         Timeline t = Timeline.with(0, 1, 3);
         List<Decisions.Action> late = t.event(new Decisions.Request(
                 "late",
@@ -567,34 +567,34 @@
     }
 
     @Test
-    void timeOutsOfReadsWithLittleTimeKeepSuchReadsAwayAndAnswersLetThemInAgain() {
+    void timeoutsStopReadsWithLittleTimeAndAnswersAdmitThemAgain() {
         Timeline t = Timeline.with(0, 1, 3);
-        for (int i = 0; i < 400 && !sends(little(t, "a" + i)).isEmpty(); i++) {
+        for (int i = 0; i < 400 && !sends(readWithLittleTime(t, "a" + i)).isEmpty(); i++) {
             Send send = sends(t.actions).get(sends(t.actions).size() - 1);
             t.pass(400_000);
             t.event(new Decisions.AttemptEnded(
                     "a" + i, 0, send.server(), Outcome.TIMED_OUT, 400_000, false, 0, new double[0]));
             t.pass(100_000);
         }
-        assertEquals("b", of(little(t, "b"), Refuse.class).get(0).request());
+        assertEquals("b", of(readWithLittleTime(t, "b"), Refuse.class).get(0).request());
         t.pass(10 * SECOND);
         for (int i = 0;
-                i < 400 && sends(little(t, "c" + i)).isEmpty();
+                i < 400 && sends(readWithLittleTime(t, "c" + i)).isEmpty();
                 i++) { // a read with all its time goes on all the same
             t.end(onlySend(t.read("d" + i, i)), Outcome.SERVED);
             t.pass(100_000);
         }
-        assertEquals(1, sends(little(t, "e")).size());
+        assertEquals(1, sends(readWithLittleTime(t, "e")).size());
     }
 
-    private static List<Decisions.Action> little(Timeline t, String id) {
+    private static List<Decisions.Action> readWithLittleTime(Timeline t, String id) {
         return t.event(new Decisions.Request(id, "read", "t", true, 7, t.now + 400_000, 0, 0, true, false));
     }
 
     @Test
-    void aTimeOutOfAClientWithLittleTimeSaysNothingOfTheStore() {
+    void timeoutsByShortDeadlinesDoNotLowerTheAllowance() {
         double[] x = new double[2];
-        for (int way = 0; way < 2; way++) {
+        for (int variant = 0; variant < 2; variant++) {
             Timeline t = Timeline.with(0, 1, 3);
             for (int i = 0; i < 40; i++) {
                 Send write = onlySend(t.request("w" + i, "write", i, true));
@@ -603,26 +603,26 @@
                         0,
                         write.server(),
                         Outcome.TIMED_OUT,
-                        way == 0 ? 60_000 : 900_000,
+                        variant == 0 ? 60_000 : 900_000,
                         true,
                         0,
                         new double[0]));
                 t.pass(100_000);
             }
-            x[way] = t.rules.budget.effectiveAllowance();
+            x[variant] = t.rules.budget.effectiveAllowance();
         }
         assertTrue(x[0] == 100 && x[1] < 50, "X after short time-outs " + x[0] + ", after long ones " + x[1]);
     }
 
     @Test
-    void oneBalancerOutOfCreditsTeachesAHundredTheirAllowance() {
+    void oneBalancerOutOfCreditsRaisesTheAllowanceOfAll() {
         for (int queue = 0; queue <= 3; queue += 3) {
             Timeline t = Timeline.with(0, 100, 3);
             double before = t.rules.budget.effectiveAllowance();
             for (int i = 1; i <= 12; i++) {
                 for (int from = 1; from < 100; from++) {
                     boolean busy = from == 7;
-                    PeerStatus f = new PeerStatus(
+                    PeerStatus status = new PeerStatus(
                             t.rules.ledger.period,
                             t.rules.ledger.positionMillis(),
                             0,
@@ -635,7 +635,7 @@
                             2 * i,
                             100L * i,
                             0);
-                    t.event(new PeerMessage(from, f.encode(from, i, CacheLoads.NONE)));
+                    t.event(new PeerMessage(from, status.encode(from, i, CacheLoads.NONE)));
                 }
                 t.pass(SECOND / 2);
             }
@@ -646,11 +646,11 @@
     }
 
     @Test
-    void whatMessagesCostIsBoundedHoweverManyHearThem() {
-        int[] told = new int[2];
+    void theCostOfMessagesIsBoundedInLargeTiers() {
+        int[] sent = new int[2];
         int[] fleets = {4, 100};
         for (int i = 0; i < 2; i++) {
-            Timeline t = Timeline.withDearMessages(0, fleets[i], 3);
+            Timeline t = Timeline.withPricedMessages(0, fleets[i], 3);
             for (int r = 0; r < 200; r++) { // ten requests a second, a message after each change otherwise
                 Send send = onlySend(t.read("r" + r, r));
                 t.pass(50_000);
@@ -659,18 +659,18 @@
                 List<Send> fetch = sends(t.actions);
                 t.end(fetch.get(fetch.size() - 1), Outcome.SERVED);
             }
-            told[i] = Timeline.of(t.actions, Decisions.TellPeer.class).size();
+            sent[i] = Timeline.of(t.actions, Decisions.TellPeer.class).size();
         }
-        assertTrue(told[0] >= 80, "four balancers tell as before: " + told[0]);
-        assertTrue(told[1] >= 18 && told[1] <= 24, "a hundred: once a second, " + told[1]);
+        assertTrue(sent[0] >= 80, "four balancers tell as before: " + sent[0]);
+        assertTrue(sent[1] >= 18 && sent[1] <= 24, "a hundred: once a second, " + sent[1]);
     }
 
     /** Danger: a hundred that tell once a second in step hear of a queue at once, leave it, and all come back a second on. */
     @Test
-    void manyDoNotTellInStep() {
+    void balancersDoNotSendInStep() {
         List<Timeline> fleet = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            fleet.add(Timeline.withDearMessages(i, 100, 3));
+            fleet.add(Timeline.withPricedMessages(i, 100, 3));
         }
         int all = 0;
         int most = 0;
@@ -689,30 +689,30 @@
     }
 
     @Test
-    void whatOthersHaveOutCountsAgainstTheLimitOfACache() {
+    void attemptsOfPeersCountAgainstTheLimitOfACache() {
         Timeline t = Timeline.with(0, 2, 1);
-        tell(t, 1, 1, 1, (int) Rules.INITIAL_CONCURRENCY_LIMIT);
+        sendLoad(t, 1, 1, 1, (int) Rules.INITIAL_CONCURRENCY_LIMIT);
         assertEquals(List.of(), sends(t.read("a", 7)));
-        tell(t, 1, 2, 1, 0);
+        sendLoad(t, 1, 2, 1, 0);
         assertEquals(1, sends(t.actions).size());
     }
 
     /** Danger: where clients give up long before their class's aim, a queue that is too long for them seemed short. */
     @Test
-    void whatIsLateTurnsOnTheTimeThatTheClientGives() {
+    void slowAnswersAreJudgedByTheTimeThatClientsWait() {
         int[] out = new int[2];
         long[] gives = {1_500_000, 380_000};
-        for (int way = 0; way < 2; way++) {
+        for (int variant = 0; variant < 2; variant++) {
             Timeline t = Timeline.with(0, 1, 1);
             for (int i = 0; i < 200; i++) {
-                Send send = onlySend(
-                        t.event(new Request("a" + i, "read", "t", true, i, t.now + gives[way], 0, 0, false, false)));
+                Send send = onlySend(t.event(
+                        new Request("a" + i, "read", "t", true, i, t.now + gives[variant], 0, 0, false, false)));
                 t.event(new Decisions.AttemptEnded(
                         send.request(), 0, send.server(), Outcome.SERVED, 250_000, true, 1, new double[0]));
                 t.pass(250_000);
             }
             for (int i = 0; i < 40; i++) {
-                out[way] += sends(t.read("b" + i, i)).size();
+                out[variant] += sends(t.read("b" + i, i)).size();
             }
         }
         assertTrue(out[0] >= Rules.INITIAL_CONCURRENCY_LIMIT && out[1] <= 4, out[0] + " and " + out[1] + " may be out");
@@ -720,7 +720,7 @@
 
     /** Danger: first come, first served, and where more come than can be served all are late. */
     @Test
-    void whatCanBeInTimeGoesBeforeWhatIsLateAlready() {
+    void requestsInTimeGoBeforeLateOnes() {
         Timeline t = Timeline.with(0, 1, 1);
         List<Send> out = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
@@ -735,23 +735,23 @@
     }
 
     @Test
-    void aMissCostsAColdCacheLessThanAnAnswer() {
+    void aMissTakesLessOfAColdCachesTokensThanAHit() {
         int[] asked = new int[2];
-        List<Long> itsKeys = new ArrayList<>(); // more of them than its part: its tokens are what bounds it
+        List<Long> ownKeys = new ArrayList<>(); // more of them than its part: its tokens are what bounds it
         owners(Timeline.with(0, 1, 4), 3_200).forEach((key, owner) -> {
             if (owner == 4) {
-                itsKeys.add(Hash.mix(key + 1));
+                ownKeys.add(Hash.mix(key + 1));
             }
         });
-        for (int way = 0; way < 2; way++) {
+        for (int variant = 0; variant < 2; variant++) {
             Timeline t = Timeline.with(0, 1, 3);
             t.list(ListKind.CHANGES, List.of(cache(4, State.RUNNING, t.now)));
-            for (int i = 0; i < itsKeys.size(); i++) {
-                List<Send> sends = sends(t.read("r" + i, itsKeys.get(i)));
+            for (int i = 0; i < ownKeys.size(); i++) {
+                List<Send> sends = sends(t.read("r" + i, ownKeys.get(i)));
                 for (int tries = 0; !sends.isEmpty() && tries < 3; tries++) {
                     boolean cold = sends.get(0).server() == 4;
-                    asked[way] += cold ? 1 : 0;
-                    sends = sends(t.end(sends.get(0), cold && way == 1 ? Outcome.MISS : Outcome.SERVED));
+                    asked[variant] += cold ? 1 : 0;
+                    sends = sends(t.end(sends.get(0), cold && variant == 1 ? Outcome.MISS : Outcome.SERVED));
                 }
                 t.pass(10_000);
             }
@@ -760,40 +760,40 @@
     }
 
     @Test
-    void overtakenAndRepeatedMessagesChangeNothingAndARestartedPeerIsHeard() {
+    void reorderedMessagesAreIgnoredAndThoseOfARestartedPeerAccepted() {
         Timeline t = Timeline.with(0, 2, 3);
-        t.event(new PeerMessage(1, message(7, 5, 50, 0)));
-        t.event(new PeerMessage(1, message(7, 4, 10, 0)));
+        t.event(new PeerMessage(1, statusMessage(7, 5, 50, 0)));
+        t.event(new PeerMessage(1, statusMessage(7, 4, 10, 0)));
         assertEquals(50, t.rules.budget.effectiveAllowance(), 1e-6);
-        t.event(new PeerMessage(1, message(8, 1, 20, 0)));
+        t.event(new PeerMessage(1, statusMessage(8, 1, 20, 0)));
         assertEquals(20, t.rules.budget.effectiveAllowance(), 1e-6);
     }
 
     @Test
-    void aPeriodThatALowerNumberedPeerEndsFirstStillTeachesX() {
+    void aPeriodThatAPeerEndsFirstIsStillEvaluated() {
         // Danger: its word of the new period came just before the own tick, each time, and X stood still.
         Timeline t = Timeline.with(1, 2, 3);
         for (int i = 1; i <= 10; i++) {
-            PeerStatus of = new PeerStatus(i, 0, 0, 0, 0, 0, 5, 0, 0, 4 * i, 200L * i, 0);
-            t.event(new PeerMessage(0, of.encode(1, i, CacheLoads.NONE)));
+            PeerStatus status = new PeerStatus(i, 0, 0, 0, 0, 0, 5, 0, 0, 4 * i, 200L * i, 0);
+            t.event(new PeerMessage(0, status.encode(1, i, CacheLoads.NONE)));
             t.pass(999_000);
         }
         assertTrue(t.rules.peers.all[0].countedState.answers() >= 4 * 8);
     }
 
     @Test
-    void whoHasLearntNoXGoesByThePeersThatHave() {
+    void aBalancerWithoutAnEstimateUsesThoseOfItsPeers() {
         Timeline t = Timeline.with(0, 2, 3);
         double first = t.rules.budget.effectiveAllowance();
-        t.event(new PeerMessage(1, message(7, 1, (float) (4 * first), 0)));
+        t.event(new PeerMessage(1, statusMessage(7, 1, (float) (4 * first), 0)));
         assertEquals(4 * first, t.rules.budget.effectiveAllowance(), 0.01);
     }
 
     @Test
-    void oneOldLowEstimateDoesNotBindForEver() {
+    void aStaleLowEstimateExpires() {
         Timeline t = Timeline.with(0, 2, 3);
         t.pass(100_000);
-        t.event(new PeerMessage(1, message(7, 1, 1, 0)));
+        t.event(new PeerMessage(1, statusMessage(7, 1, 1, 0)));
         assertEquals(1, t.rules.budget.effectiveAllowance(), 1e-6);
         t.pass(10 * SECOND);
         assertTrue(t.rules.budget.effectiveAllowance() > 1, "X " + t.rules.budget.effectiveAllowance());
@@ -808,7 +808,7 @@
     }
 
     @Test
-    void theAllowanceFallsOnRefusalsAndComesBack() {
+    void theAllowanceFallsOnRefusalsAndRecovers() {
         Timeline t = Timeline.with(0, 1, 3);
         double before = t.rules.budget.effectiveAllowance();
         flood(t, 4, Outcome.FULL);
@@ -844,9 +844,9 @@
     }
 
     @Test
-    void aSilentPeerKeepsNoSay() {
+    void theStateOfASilentPeerIsIgnored() {
         Timeline t = Timeline.with(0, 2, 3);
-        t.event(new PeerMessage(1, message(7, 1, 50, 900)));
+        t.event(new PeerMessage(1, statusMessage(7, 1, 50, 900)));
         t.pass(SECOND);
         assertTrue(t.rules.ledger.contended, "a fresh peer's queue counts");
         t.pass(4 * SECOND);
@@ -854,14 +854,14 @@
     }
 
     @Test
-    void quietBalancersSendHeartbeatsOnly() {
+    void idleBalancersSendHeartbeatsOnly() {
         Timeline t = Timeline.with(0, 30, 3);
-        long told = of(t.pass(20 * SECOND), TellPeer.class).size();
-        assertTrue(told >= 15 && told <= 25, told + " messages in 20 s");
+        long sent = of(t.pass(20 * SECOND), TellPeer.class).size();
+        assertTrue(sent >= 15 && sent <= 25, sent + " messages in 20 s");
     }
 
     @Test
-    void aWatchThatFailsIsAskedForAgainLaterAndLater() {
+    void aFailedWatchIsRetriedWithBackoff() {
         Timeline t = new Timeline(Timeline.settings(0, 2, 6, Membership.ASK, true), 0);
         t.list(ListKind.LAST_KNOWN, servers(3));
         List<Long> times = new ArrayList<>();
@@ -881,7 +881,7 @@
     }
 
     @Test
-    void pushedListsAreNotAskedFor() {
+    void pushedListsNeedNoWatch() {
         assertEquals(List.of(), of(Timeline.with(0, 2, 3).pass(20 * SECOND), WatchServers.class));
     }
 
@@ -896,9 +896,9 @@
     }
 
     @Test
-    void anUnderOneAllowanceStillFetchesNowAndThen() {
+    void anAllowanceBelowOneStillFetches() {
         Timeline t = Timeline.with(0, 2, 3);
-        t.event(new PeerMessage(1, message(7, 1, 0.5f, 0)));
+        t.event(new PeerMessage(1, statusMessage(7, 1, 0.5f, 0)));
         int fetches = 0;
         int sequence = 2;
         for (int s = 0; s < 40; s++) {
@@ -910,7 +910,7 @@
                     t.end(fetch, Outcome.SERVED);
                 }
             }
-            t.event(new PeerMessage(1, message(7, sequence++, 0.5f, 0)));
+            t.event(new PeerMessage(1, statusMessage(7, sequence++, 0.5f, 0)));
             t.pass(300_000);
         }
         assertTrue(fetches >= 3 && fetches <= 35, fetches + " fetches in 40 s");
--- a/balancer/src/test/java/merlinstep/StoreLimitTest.java
+++ b/balancer/src/test/java/merlinstep/StoreLimitTest.java
@@ -20,69 +20,70 @@
 /** X against a store with places, a queue and a speed that changes, under more misses than it can take. */
 public class StoreLimitTest {
 
-    private static final int STEP = 5_000;
-    private static final int PLACES = 3;
+    private static final int STEP_MICROS = 5_000;
+    private static final int CONCURRENCY = 3;
     /** The client's whole time: what the store has not answered by then has timed out. */
-    private static final long DEADLINE = 1_500_000;
+    private static final long DEADLINE_MICROS = 1_500_000;
     /** What leaves time enough for the miss before it, of an aim of 800 ms. */
-    private static final long QUICK = 500_000;
+    private static final long QUICK_MICROS = 500_000;
 
     private record Fetch(Send send, long sentMicros) {}
 
-    private final Timeline t = Timeline.with(0, 1, 3);
+    private final Timeline timeline = Timeline.with(0, 1, 3);
     private final Deque<Fetch> queue = new ArrayDeque<>();
-    private final Map<Fetch, Long> work = new LinkedHashMap<>();
+    private final Map<Fetch, Long> inService = new LinkedHashMap<>();
     private final List<Send> open = new ArrayList<>();
-    private int asked;
+    private int requests;
 
     /** Answers in a second and how many of them took no longer than half of the shortest aim. */
-    private record Second(int answered, int quick) {}
+    private record SecondResult(int answered, int quick) {}
 
     /** A second of {@code misses} reads of as many keys, at a store that takes {@code serviceMicros} for each. */
-    private Second second(int misses, long serviceMicros) {
+    private SecondResult runSecond(int misses, long serviceMicros) {
         int answered = 0;
         int quick = 0;
-        for (int step = 0; step < 1_000_000 / STEP; step++) {
-            int due = (step + 1) * misses * STEP / 1_000_000 - step * misses * STEP / 1_000_000;
-            for (int i = 0; i < due; i++) {
-                String id = "r" + asked++;
-                open.addAll(Timeline.sends(t.read(id, Hash.mix(asked))));
+        for (int step = 0; step < 1_000_000 / STEP_MICROS; step++) {
+            int arrivals = (step + 1) * misses * STEP_MICROS / 1_000_000 - step * misses * STEP_MICROS / 1_000_000;
+            for (int i = 0; i < arrivals; i++) {
+                String id = "r" + requests++;
+                open.addAll(Timeline.sends(timeline.read(id, Hash.mix(requests))));
             }
-            open.addAll(Timeline.sends(t.pass(STEP)));
+            open.addAll(Timeline.sends(timeline.pass(STEP_MICROS)));
             for (int i = 0; i < open.size(); i++) { // grows while it is gone through: a miss may buy a fetch
                 Send send = open.get(i);
                 if (send.server() != Timeline.ORIGIN) {
-                    open.addAll(Timeline.sends(t.end(send, Outcome.MISS)));
+                    open.addAll(Timeline.sends(timeline.end(send, Outcome.MISS)));
                     continue;
                 }
-                queue.add(new Fetch(send, t.now));
+                queue.add(new Fetch(send, timeline.now));
             }
             open.clear();
-            for (Fetch f : List.copyOf(work.keySet())) {
-                if (work.get(f) <= t.now) {
-                    work.remove(f);
+            for (Fetch fetch : List.copyOf(inService.keySet())) {
+                if (inService.get(fetch) <= timeline.now) {
+                    inService.remove(fetch);
                     answered++;
-                    quick += t.now - f.sentMicros() <= QUICK ? 1 : 0;
-                    told(f, Outcome.SERVED, t.now - f.sentMicros());
+                    quick += timeline.now - fetch.sentMicros() <= QUICK_MICROS ? 1 : 0;
+                    endFetch(fetch, Outcome.SERVED, timeline.now - fetch.sentMicros());
                 }
             }
             while (!queue.isEmpty()
-                    && (work.size() < PLACES || t.now - queue.peek().sentMicros() >= DEADLINE)) {
-                Fetch f = queue.remove();
-                if (t.now - f.sentMicros() >= DEADLINE) { // nobody waits for it any more
-                    told(f, Outcome.TIMED_OUT, DEADLINE);
-                    t.event(new RequestGone(f.send().request()));
+                    && (inService.size() < CONCURRENCY
+                            || timeline.now - queue.peek().sentMicros() >= DEADLINE_MICROS)) {
+                Fetch fetch = queue.remove();
+                if (timeline.now - fetch.sentMicros() >= DEADLINE_MICROS) { // nobody waits for it any more
+                    endFetch(fetch, Outcome.TIMED_OUT, DEADLINE_MICROS);
+                    timeline.event(new RequestGone(fetch.send().request()));
                 } else {
-                    work.put(f, t.now + serviceMicros);
+                    inService.put(fetch, timeline.now + serviceMicros);
                 }
             }
         }
-        return new Second(answered, quick);
+        return new SecondResult(answered, quick);
     }
 
-    private void told(Fetch f, Outcome outcome, long latencyMicros) {
-        open.addAll(Timeline.sends(t.event(new AttemptEnded(
-                f.send().request(),
+    private void endFetch(Fetch fetch, Outcome outcome, long latencyMicros) {
+        open.addAll(Timeline.sends(timeline.event(new AttemptEnded(
+                fetch.send().request(),
                 1,
                 Timeline.ORIGIN,
                 outcome,
@@ -93,15 +94,15 @@
     }
 
     @Test
-    public void whereItBindsTheStoreIsKeptBusyAndItsQueueShort() {
+    public void aSaturatedOriginStaysBusyWithAShortQueue() {
         for (int s = 0; s < 10; s++) {
-            second(200, 50_000); // the store takes 60 a second
+            runSecond(200, 50_000); // the store takes 60 a second
         }
         int answered = 0;
         int quick = 0;
         int least = Integer.MAX_VALUE;
         for (int s = 0; s < 30; s++) {
-            Second now = second(200, 50_000);
+            SecondResult now = runSecond(200, 50_000);
             answered += now.answered();
             quick += now.quick();
             least = Math.min(least, now.answered());
@@ -112,76 +113,77 @@
     }
 
     @Test
-    public void aStoreThatIsSlowItselfIsStillAskedForWhatItCanTake() {
+    public void aSlowOriginStillGetsTheFetchesThatItCanServe() {
         for (int s = 0; s < 6; s++) {
-            second(200, 50_000);
+            runSecond(200, 50_000);
         }
-        second(200, 500_000); // ten times slower: six a second, each of them past half of the aim
-        second(200, 500_000);
+        runSecond(200, 500_000); // ten times slower: six a second, each of them past half of the aim
+        runSecond(200, 500_000);
         int answered = 0;
         for (int s = 0; s < 12; s++) {
-            answered += second(200, 500_000).answered();
+            answered += runSecond(200, 500_000).answered();
         }
         assertTrue(answered + " of 72 while it was slow", answered >= 50);
     }
 
     @Test
-    public void aStoreThatIsQuickAgainIsAskedForWhatItTookBeforeWithinSeconds() {
+    public void aRecoveredOriginGetsItsFormerRateWithinSeconds() {
         for (int s = 0; s < 8; s++) {
-            second(200, 50_000);
+            runSecond(200, 50_000);
         }
         for (int s = 0; s < 10; s++) {
-            second(200, 1_200_000); // two or three a second
+            runSecond(200, 1_200_000); // two or three a second
         }
         for (int s = 0; s < 5; s++) {
-            second(200, 50_000);
+            runSecond(200, 50_000);
         }
-        int answered = second(200, 50_000).answered() + second(200, 50_000).answered();
+        int answered =
+                runSecond(200, 50_000).answered() + runSecond(200, 50_000).answered();
         assertTrue(answered + " of 120 in the two seconds after five", answered >= 80);
     }
 
     @Test
-    public void anAllowanceThatNobodyAsksForDoesNotGrowBeyondTwiceWhatWasAnswered() {
-        double first = t.rules.budget.effectiveAllowance();
+    public void anUnusedAllowanceStaysWithinTwiceTheAnsweredRate() {
+        double first = timeline.rules.budget.effectiveAllowance();
         for (int s = 0; s < 20; s++) {
-            second(30, 20_000);
+            runSecond(30, 20_000);
         }
-        double after = t.rules.budget.effectiveAllowance();
+        double after = timeline.rules.budget.effectiveAllowance();
         assertTrue("X " + first + " then " + after, after <= 2 * first);
     }
 
     /** Danger: a store's window dealt out among a hundred was too little for each to hold a credit, and misses waited. */
     @Test
-    public void amongAHundredBalancersThatWaitForNothingAMissBuysItsFetchAtOnce() {
-        Timeline one = Timeline.with(0, 100, 3);
-        Random chance = new Random(7);
+    public void aMissInAnIdleLargeTierIsFetchedAtOnce() {
+        Timeline balancer = Timeline.with(0, 100, 3);
+        Random random = new Random(7);
         int atOnce = 0;
         for (int i = 1; i <= 60; i++) {
             for (int from = 1; from < 100; from++) {
-                PeerStatus f = new PeerStatus(
-                        one.rules.ledger.period,
-                        one.rules.ledger.positionMillis(),
+                PeerStatus status = new PeerStatus(
+                        balancer.rules.ledger.period,
+                        balancer.rules.ledger.positionMillis(),
                         0,
                         0,
                         0,
                         1,
-                        chance.nextInt(1 << 16),
+                        random.nextInt(1 << 16),
                         0,
                         120,
                         i,
                         50L * i,
                         0);
-                one.event(new PeerMessage(from, f.encode(from, i, CacheLoads.NONE)));
+                balancer.event(new PeerMessage(from, status.encode(from, i, CacheLoads.NONE)));
             }
-            one.pass(500_000 + chance.nextInt(400_000));
-            Send ask = Timeline.onlySend(one.read("m" + i, Hash.mix(i)));
-            for (Send fetch : Timeline.sends(one.end(ask, Outcome.MISS))) {
+            balancer.pass(500_000 + random.nextInt(400_000));
+            Send ask = Timeline.onlySend(balancer.read("m" + i, Hash.mix(i)));
+            for (Send fetch : Timeline.sends(balancer.end(ask, Outcome.MISS))) {
                 atOnce++;
-                one.end(fetch, Outcome.SERVED);
+                balancer.end(fetch, Outcome.SERVED);
             }
-            one.pass(100_000);
+            balancer.pass(100_000);
         }
-        assertTrue(atOnce + " of 60 at once, X " + one.rules.budget.effectiveAllowance(), atOnce >= 55);
+        assertTrue(atOnce + " of 60 at once, X " + balancer.rules.budget.effectiveAllowance(), atOnce >= 55);
     }
 
     /**
@@ -189,14 +191,14 @@
      * among a hundred, and the ones with many misses waited for the next word while the store was quick.
      */
     @Test
-    public void whatIsBackFromTheStoreFreesItsPlaceInTheWindow() {
-        Timeline one = Timeline.withDearMessages(0, 100, 3);
+    public void anAnsweredFetchFreesItsPlaceInTheWindow() {
+        Timeline balancer = Timeline.withPricedMessages(0, 100, 3);
         int fetched = 0;
         for (int period = 0; period < 5; period++) {
             for (int from = 1; from < 100; from++) {
-                PeerStatus f = new PeerStatus(
-                        one.rules.ledger.period,
-                        one.rules.ledger.positionMillis(),
+                PeerStatus status = new PeerStatus(
+                        balancer.rules.ledger.period,
+                        balancer.rules.ledger.positionMillis(),
                         0,
                         0,
                         0,
@@ -207,35 +209,38 @@
                         period,
                         50L * period,
                         0);
-                one.event(new PeerMessage(from, f.encode(from, period + 1, CacheLoads.NONE)));
+                balancer.event(new PeerMessage(from, status.encode(from, period + 1, CacheLoads.NONE)));
             }
             for (int miss = 0; miss < 8; miss++) { // nine credits a period and four places are each one's part
-                Send ask = Timeline.onlySend(one.read("m" + period + miss, Hash.mix(8 * period + miss)));
-                for (Send fetch : Timeline.sends(one.end(ask, Outcome.MISS))) {
-                    one.pass(40_000);
-                    one.end(fetch, Outcome.SERVED);
+                Send ask = Timeline.onlySend(balancer.read("m" + period + miss, Hash.mix(8 * period + miss)));
+                for (Send fetch : Timeline.sends(balancer.end(ask, Outcome.MISS))) {
+                    balancer.pass(40_000);
+                    balancer.end(fetch, Outcome.SERVED);
                     fetched++;
                 }
-                one.pass(80_000);
+                balancer.pass(80_000);
             }
-            one.pass(1_000_000 - one.rules.ledger.positionMillis() * 1000L % 1_000_000);
+            balancer.pass(1_000_000 - balancer.rules.ledger.positionMillis() * 1000L % 1_000_000);
         }
         assertTrue(
-                fetched + " of 40 bought their fetch at once, X " + one.rules.budget.effectiveAllowance(),
+                fetched + " of 40 bought their fetch at once, X " + balancer.rules.budget.effectiveAllowance(),
                 fetched >= 38);
     }
 
     /** Danger: the least of a hundred noisy estimates is too low, and each went by it. A few have no noise to spare. */
     @Test
-    public void aFewLowEstimatesOfManyBindNobodyAndTheLowestOfAFewBindsAll() {
+    public void outliersAreIgnoredAmongManyEstimatesButNotAmongFew() {
         for (int balancers : new int[] {4, 100}) {
-            Timeline one = Timeline.with(0, balancers, 3);
+            Timeline balancer = Timeline.with(0, balancers, 3);
             for (int from = 1; from < balancers; from++) {
-                PeerStatus f = new PeerStatus(0, 0, 0, 0, 0, 1, from, 0, from == 1 ? 20 : 90, 0, 0, 0);
-                one.event(new PeerMessage(from, f.encode(from, 1, CacheLoads.NONE)));
+                PeerStatus status = new PeerStatus(0, 0, 0, 0, 0, 1, from, 0, from == 1 ? 20 : 90, 0, 0, 0);
+                balancer.event(new PeerMessage(from, status.encode(from, 1, CacheLoads.NONE)));
             }
             assertEquals(
-                    balancers + " balancers", balancers == 4 ? 20 : 90, one.rules.budget.effectiveAllowance(), 0.01);
+                    balancers + " balancers",
+                    balancers == 4 ? 20 : 90,
+                    balancer.rules.budget.effectiveAllowance(),
+                    0.01);
         }
     }
 }
--- a/balancer/src/test/java/merlinstep/TierCreditsTest.java
+++ b/balancer/src/test/java/merlinstep/TierCreditsTest.java
@@ -21,38 +21,38 @@
  */
 public class TierCreditsTest {
 
-    private static final int STEP = 10_000;
-    private static final long ANSWER = 30_000;
+    private static final int STEP_MICROS = 10_000;
+    private static final long ANSWER_MICROS = 30_000;
 
-    private record Later(long at, int number, Runnable what) {}
+    private record Scheduled(long at, int number, Runnable task) {}
 
     private final List<Timeline> tier = new ArrayList<>();
-    private final PriorityQueue<Later> later =
-            new PriorityQueue<>(Comparator.comparingLong(Later::at).thenComparingInt(Later::number));
-    private Random chance;
+    private final PriorityQueue<Scheduled> scheduled =
+            new PriorityQueue<>(Comparator.comparingLong(Scheduled::at).thenComparingInt(Scheduled::number));
+    private Random random;
     private double loss;
-    private int late;
-    private int number;
+    private int maxDelayMicros;
+    private int nextNumber;
     private int fetched;
 
-    private void after(long micros, Runnable what) {
-        later.add(new Later(tier.get(0).now + micros, number++, what));
+    private void schedule(long micros, Runnable task) {
+        scheduled.add(new Scheduled(tier.get(0).now + micros, nextNumber++, task));
     }
 
-    private void act(int me, List<Action> actions) {
+    private void act(int balancer, List<Action> actions) {
         for (Action action : actions) {
             if (action instanceof Send send && send.server() == Timeline.ORIGIN) {
                 fetched++;
-                after(ANSWER, () -> act(me, tier.get(me).end(send, Outcome.SERVED)));
+                schedule(ANSWER_MICROS, () -> act(balancer, tier.get(balancer).end(send, Outcome.SERVED)));
             } else if (action instanceof Send send) {
-                act(me, tier.get(me).end(send, Outcome.MISS));
-            } else if (action instanceof TellPeer told) {
+                act(balancer, tier.get(balancer).end(send, Outcome.MISS));
+            } else if (action instanceof TellPeer message) {
                 for (int to = 0; to < tier.size(); to++) {
                     int peer = to;
-                    if (peer != me && chance.nextDouble() >= loss) {
-                        after(
-                                chance.nextInt(late + 1),
-                                () -> act(peer, tier.get(peer).event(new PeerMessage(me, told.content()))));
+                    if (peer != balancer && random.nextDouble() >= loss) {
+                        schedule(
+                                random.nextInt(maxDelayMicros + 1),
+                                () -> act(peer, tier.get(peer).event(new PeerMessage(balancer, message.content()))));
                     }
                 }
             }
@@ -60,35 +60,35 @@
     }
 
     /** The most that a period's fetches came to, against what the periods around it allowed. */
-    private double most(int balancers, double misses, int periods, boolean dear) {
+    private double worstRatio(int balancers, double misses, int periods, boolean priced) {
         tier.clear();
-        later.clear();
+        scheduled.clear();
         for (int i = 0; i < balancers; i++) {
-            tier.add(dear ? Timeline.withDearMessages(i, balancers, 3) : Timeline.with(i, balancers, 3));
+            tier.add(priced ? Timeline.withPricedMessages(i, balancers, 3) : Timeline.with(i, balancers, 3));
         }
-        double most = 0;
+        double worst = 0;
         double before = allowance();
         for (int period = 0; period < periods; period++) {
             fetched = 0;
-            for (int step = 0; step < Timeline.SECOND / STEP; step++) {
+            for (int step = 0; step < Timeline.SECOND / STEP_MICROS; step++) {
                 for (int i = 0; i < balancers; i++) {
-                    act(i, tier.get(i).pass(STEP));
+                    act(i, tier.get(i).pass(STEP_MICROS));
                 }
-                while (!later.isEmpty() && later.peek().at() <= tier.get(0).now) {
-                    later.poll().what().run();
+                while (!scheduled.isEmpty() && scheduled.peek().at() <= tier.get(0).now) {
+                    scheduled.poll().task().run();
                 }
                 for (int i = 0; i < balancers; i++) {
-                    if (chance.nextDouble()
-                            < misses * (i % 4 == 0 ? 3 : 1) * STEP / 1e6) { // some have more than others
-                        act(i, tier.get(i).read("r" + number++, chance.nextLong()));
+                    if (random.nextDouble()
+                            < misses * (i % 4 == 0 ? 3 : 1) * STEP_MICROS / 1e6) { // some have more than others
+                        act(i, tier.get(i).read("r" + nextNumber++, random.nextLong()));
                     }
                 }
             }
             double now = allowance();
-            most = Math.max(most, fetched / (2 * Math.max(before, now) + balancers));
+            worst = Math.max(worst, fetched / (2 * Math.max(before, now) + balancers));
             before = now;
         }
-        return most;
+        return worst;
     }
 
     private double allowance() {
@@ -99,17 +99,18 @@
     }
 
     @Test
-    public void aTierOfAnySizeStaysWithinTwiceXAndOneForEachWhateverIsLostOrLate() {
+    public void fetchesOfATierStayWithinTwiceXAndOnePerBalancer() {
         int[][] tiers = {{1, 400}, {2, 200}, {3, 150}, {7, 60}, {20, 20}, {50, 12}, {120, 6}};
-        for (int[] one : tiers) {
+        for (int[] tierSpec : tiers) {
             for (int draw = 0; draw < 3; draw++) {
-                chance = new Random(1000L * one[0] + draw);
-                loss = draw == 0 ? 0 : chance.nextDouble();
-                late = draw == 0 ? 8_000 : chance.nextInt(800_000);
-                double most = most(one[0], one[1], one[0] > 100 ? 3 : 6, draw != 1);
+                random = new Random(1000L * tierSpec[0] + draw);
+                loss = draw == 0 ? 0 : random.nextDouble();
+                maxDelayMicros = draw == 0 ? 8_000 : random.nextInt(800_000);
+                double worst = worstRatio(tierSpec[0], tierSpec[1], tierSpec[0] > 100 ? 3 : 6, draw != 1);
                 assertTrue(
-                        one[0] + " balancers, draw " + draw + ", loss " + loss + ", late by " + late + " us: " + most,
-                        most <= 1);
+                        tierSpec[0] + " balancers, draw " + draw + ", loss " + loss + ", late by " + maxDelayMicros
+                                + " us: " + worst,
+                        worst <= 1);
             }
         }
     }
--- a/balancer/src/test/java/merlinstep/Timeline.java
+++ b/balancer/src/test/java/merlinstep/Timeline.java
@@ -54,7 +54,7 @@
     }
 
     /** The same where messages to others have a price: each tells once a second where they are many. */
-    static Timeline withDearMessages(int index, int balancers, int caches) {
+    static Timeline withPricedMessages(int index, int balancers, int caches) {
         Settings s = settings(index, balancers, 6);
         Timeline t = new Timeline(
                 new Settings(
--- a/tier/src/test/java/merlinstep/FullMesh.java
+++ b/tier/src/test/java/merlinstep/FullMesh.java
@@ -44,13 +44,13 @@
 
     public static final long SECOND = 1_000_000;
     private static final long ORIGIN = 99_999;
-    private static final long STEP = 10_000;
+    private static final long STEP_MICROS = 10_000;
     private static final long HIT_MICROS = 350_000;
     private static final long STORE_MICROS = 100_000;
     private static final long LATE_STORE_MICROS = 1_200_000;
     private static final double NANOS = 1e9;
 
-    private record Later(long at, long number, Runnable what) {}
+    private record Scheduled(long at, long number, Runnable task) {}
 
     private final class Node {
         Rules rules;
@@ -71,13 +71,13 @@
     public long controlNanos;
 
     private final Node[] nodes;
-    private final PriorityQueue<Later> later =
-            new PriorityQueue<>(Comparator.comparingLong(Later::at).thenComparingLong(Later::number));
+    private final PriorityQueue<Scheduled> scheduled =
+            new PriorityQueue<>(Comparator.comparingLong(Scheduled::at).thenComparingLong(Scheduled::number));
     private final Random random;
     private final int routers;
     private final double hitsPerSecond;
     private final double storePerSecond;
-    private long numbers;
+    private long nextNumber;
     private long fetchedBefore;
 
     public FullMesh(Places places, int routers, double hitsPerSecond, double storePerSecond, long seed) {
@@ -143,26 +143,26 @@
     private void act(int balancer, Node node, Action action) {
         if (action instanceof SetTimer timer) {
             node.timerAt = now + timer.delayMicros();
-        } else if (action instanceof TellPeer told) {
+        } else if (action instanceof TellPeer message) {
             for (int to = 0; to < nodes.length; to++) {
                 if (to != balancer) {
-                    network.send(now, balancer, to, told.content());
+                    network.send(now, balancer, to, message.content());
                 }
             }
         } else if (action instanceof Send send && send.server() == ORIGIN) {
             fetchedInSecond++;
             long micros = fetchedBefore > storePerSecond ? LATE_STORE_MICROS : STORE_MICROS;
-            after(micros, () -> end(balancer, node.rules, send, Outcome.SERVED, micros));
+            schedule(micros, () -> end(balancer, node.rules, send, Outcome.SERVED, micros));
         } else if (action instanceof Send send) {
             boolean hit = send.request().startsWith("h");
             Outcome outcome = hit ? Outcome.SERVED : Outcome.MISS;
-            long micros = hit ? HIT_MICROS : STEP;
-            after(micros, () -> end(balancer, node.rules, send, outcome, micros));
+            long micros = hit ? HIT_MICROS : STEP_MICROS;
+            schedule(micros, () -> end(balancer, node.rules, send, outcome, micros));
         }
     }
 
-    private void after(long micros, Runnable what) {
-        later.add(new Later(now + micros, numbers++, what));
+    private void schedule(long micros, Runnable task) {
+        scheduled.add(new Scheduled(now + micros, nextNumber++, task));
     }
 
     private void end(int balancer, Rules process, Send send, Outcome outcome, long micros) {
@@ -178,10 +178,10 @@
     /** Lets time pass by whole steps. */
     public void pass(long micros) {
         for (long end = now + micros; now < end; ) {
-            now += STEP;
+            now += STEP_MICROS;
             network.deliver(now, this::receive);
-            while (!later.isEmpty() && later.peek().at() <= now) {
-                later.poll().what().run();
+            while (!scheduled.isEmpty() && scheduled.peek().at() <= now) {
+                scheduled.poll().task().run();
             }
             for (int b = 0; b < nodes.length; b++) {
                 if (!nodes[b].down) {
@@ -212,12 +212,12 @@
     }
 
     private void arrive(int balancer, String kind, double perSecond) {
-        double mean = perSecond * STEP / SECOND;
+        double mean = perSecond * STEP_MICROS / SECOND;
         for (double p = random.nextDouble(); p > Math.exp(-mean); p *= random.nextDouble()) {
             event(
                     balancer,
                     new Request(
-                            kind + numbers++,
+                            kind + nextNumber++,
                             "read",
                             "t",
                             true,
--- a/tier/src/test/java/merlinstep/SameSplitTest.java
+++ b/tier/src/test/java/merlinstep/SameSplitTest.java
@@ -35,7 +35,7 @@
     private static final String SEED = "4712";
 
     @Property(seed = SEED, tries = 400)
-    void everyShareIsTheDecisionModulesOwn(
+    void sharesEqualThoseOfTheDecisionModule(
             @ForAll @IntRange(min = 1, max = 700) int balancers,
             @ForAll @LongRange(min = 0, max = 5_000) long total,
             @ForAll long seed) {
@@ -57,22 +57,22 @@
     }
 
     @Property(seed = SEED, tries = 200)
-    void figuresOfTheVersionBeforeAreUnderstood(
+    void statesOfThePreviousVersionAreDecoded(
             @ForAll @IntRange(min = 0, max = 0xffff) int fetched,
             @ForAll @IntRange(min = 0, max = 0xffff) int queued,
             @ForAll @IntRange(min = 0, max = 70) int routers,
             @ForAll @IntRange(min = 0, max = 0xffff) int draw)
             throws Exception {
-        PeerStatus figures = new PeerStatus(7, 130, fetched, queued, 6.5f, 3, draw, 11, 250f, 1, 2L, 3);
-        byte[] datagram = figures.encode(99, 12, new byte[3 * routers]);
-        PreviousVersion.Figures read = PreviousVersion.decode(datagram);
-        assertEquals(99, read.incarnation());
-        assertEquals(12, read.sequence());
-        assertEquals(new Totals(1, fetched, queued, 6.5f, 3, draw, 250f, 0, 0, 0), read.totals());
+        PeerStatus status = new PeerStatus(7, 130, fetched, queued, 6.5f, 3, draw, 11, 250f, 1, 2L, 3);
+        byte[] datagram = status.encode(99, 12, new byte[3 * routers]);
+        PreviousVersion.Figures decoded = PreviousVersion.decode(datagram);
+        assertEquals(99, decoded.incarnation());
+        assertEquals(12, decoded.sequence());
+        assertEquals(new Totals(1, fetched, queued, 6.5f, 3, draw, 250f, 0, 0, 0), decoded.totals());
     }
 
     @net.jqwik.api.Example
-    void theVersionBeforePassesOverGroupMessages() {
+    void thePreviousVersionIgnoresGroupMessages() {
         Rules rules = new Rules(settings(3));
         rules.decide(5_000_000, new Decisions.TimerFired(0), action -> {});
         Totals totals = new Totals(1, 1, 1, 1, 1, 1, 1, 1, 1, 1);
