--- a/balancer/src/test/java/merlinstep/ColdRampTest.java
+++ b/balancer/src/test/java/merlinstep/ColdRampTest.java
@@ -21,26 +21,27 @@
 import org.junit.Test;
 
 /**
- * What all balancers of a tier together send to caches that have just started, against what the settings allow: N calls in the
- * time in which a cold one falls, N being the multiple at which it falls of what it can do then; past it only 2 sqrt(N) + 2 are
- * put down to chance. What a warm cache can do is taken to be twice what it is sent in quiet times.
+ * Tests that all balancers of a tier together don't overload caches that have just started. In the time over which the
+ * load is measured, a cold cache may be sent the N requests at which it falls, and 2 sqrt(N) + 2 more by chance.
  */
 public class ColdRampTest {
 
     private static final int STEP_MICROS = 10_000;
     private static final long ANSWER_MICROS = 60_000;
     private static final int CACHES = 8;
-    /** Calls a second that a warm cache takes in quiet times. */
+    /** Requests per second for a warm cache at normal load. */
     private static final double NORMAL_RATE = 20;
 
     private static final double CAPACITY = NORMAL_RATE / 0.55;
-    /** A cold cache has 0.13 of that at first, is warm after 23 s, and falls after 3 s of 1.5 times what it can do. */
+    /**
+     * A cold cache starts with 0.13 of its capacity, is warm after 23 s, and falls after 3 s at 1.5 times its capacity.
+     */
     private static final RuleFigures RULES =
             new RuleFigures(20_000, 500_000, 10_000_000, 0.13, 23_000_000, 1.5, 3_000_000);
 
     private record Scheduled(long at, int number, Runnable task) {}
 
-    /** What befalls the tier. */
+    /** What happens as the cold caches start. */
     private enum Fault {
         NONE,
         BURST,
@@ -98,7 +99,7 @@
         }
     }
 
-    /** One more call for a cold cache: how the last window of its fall stands against what is allowed. */
+    /** Counts a request for a cold cache, and compares the last window with what is allowed. */
     private void count(int cache) {
         Deque<Long> calls = sent.get(cache);
         calls.add(now());
@@ -111,7 +112,7 @@
         worstWindow = Math.max(worstWindow, calls.size() / (allowed + 2 * Math.sqrt(allowed) + 2));
     }
 
-    /** The most that cold caches were sent in a window, against what is allowed. */
+    /** Returns the highest ratio of requests for a cold cache in a window to those allowed. */
     private double worstRatio(int balancers, Fault newFault, long seed) {
         tier.clear();
         scheduled.clear();
--- a/balancer/src/test/java/merlinstep/EmbeddingTest.java
+++ b/balancer/src/test/java/merlinstep/EmbeddingTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The README's example, run: start, request in, outcome in, timers, peers. */
+/** Runs the README's example of embedding the decision module. */
 class EmbeddingTest {
 
     private final List<String> log = new ArrayList<>();
--- a/balancer/src/test/java/merlinstep/LedgerTest.java
+++ b/balancer/src/test/java/merlinstep/LedgerTest.java
@@ -6,7 +6,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** The split, against figures worked out by hand from the paper's formulas. */
+/** Tests the split against shares calculated by hand from the paper's equations. */
 class LedgerTest {
 
     private static int[] shares(long total, double[] weights, int[] draws) {
@@ -35,7 +35,7 @@
     @Test
     void equalDrawsAreOrderedByIndex() {
         int[] shares = shares(5, new double[] {1, 1, 1}, new int[] {4, 4, 4});
-        // ceil(5/3) = 2 each, P = 1: number 0 pays.
+        // ceil(5/3) = 2 each, P = 1: taken from index 0.
         assertEquals("[1, 2, 2]", java.util.Arrays.toString(shares));
     }
 
@@ -70,7 +70,7 @@
 
     @Test
     void contentionGivesEachBalancerF() {
-        // X T / K = 8 a subperiod, B = 4: F = 2 (equation 10).
+        // X T / K = 8 per subperiod, B = 4: F = 2 (equation 10).
         for (int i = 0; i < 4; i++) {
             assertEquals(2, Rules.Ledger.contendedShare(100, 8, new double[] {1, 1, 1, 1}, i, 11));
         }
@@ -87,7 +87,7 @@
                 received[i] += own;
                 all += own;
             }
-            assertEquals(1, all, "one credit a subperiod, to one balancer");
+            assertEquals(1, all, "one credit per subperiod, to one balancer");
         }
         for (int g : received) {
             assertEquals(100, g, 3);
--- a/balancer/src/test/java/merlinstep/RulesTest.java
+++ b/balancer/src/test/java/merlinstep/RulesTest.java
@@ -38,7 +38,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Behaviour of the module, driven by events on a fake timeline. */
+/** Tests the decision module with events in virtual time. */
 class RulesTest {
 
     private static Map<Long, Long> owners(Timeline t, int keys) {
@@ -151,7 +151,7 @@
 
     @Test
     void aRequestWithLessTimeThanATickIsRefusedAtOnce() {
-        // Danger: held until the next tick it would be lost.
+        // It would expire before the next tick.
         Timeline t = new Timeline(Timeline.settings(0, 1, 6), 0);
         t.list(ListKind.LAST_KNOWN, List.of());
         List<Action> actions = t.event(new Request("a", "read", "t", true, 7, t.now + 20_000, 0, 0, false, false));
@@ -160,7 +160,7 @@
 
     @Test
     void fullAnswersAreNotRetriedAtOnce() {
-        // Danger: a storm over all caches.
+        // Immediate retries would overload the other caches.
         Timeline t = Timeline.with(0, 1, 5);
         Send ask = onlySend(t.read("a", 7));
         assertEquals(List.of(), sends(t.end(ask, Outcome.FULL)));
@@ -179,7 +179,7 @@
                 t.end(send, Outcome.SERVED);
             }
         }
-        // Danger: a balancer held up itself heard nobody, and put every server out of use for seconds.
+        // A stalled balancer hears no server, and must not take all of them out of use.
         assertEquals(List.of(), of(t.pass(600_000), Cancel.class));
         Send other = onlySend(t.read("other", keyOf(2)));
         t.end(other, Outcome.SERVED);
@@ -190,7 +190,7 @@
 
     @Test
     void aFailingCacheIsAvoidedUntilItServesAgain() {
-        // Danger: it answers at once and so looks idle; seen were requests that spent all their tries on it.
+        // It fails quickly and so looks idle; requests must not spend all their attempts on it.
         Timeline t = Timeline.with(0, 1, 4);
         int[] asked = new int[2];
         for (int i = 0; i < 1_200; i++) {
@@ -218,14 +218,15 @@
             }
             t.pass(2_000);
         }
-        assertTrue(turnedAway < 25, turnedAway + " turned away");
+        assertTrue(turnedAway < 25, turnedAway + " refused");
         assertTrue(
-                of(t.actions, Send.class).stream().filter(s -> s.server() == 2).count() >= 50, "the other serves");
+                of(t.actions, Send.class).stream().filter(s -> s.server() == 2).count() >= 50,
+                "served by the other cache");
     }
 
     @Test
     void aRequestWithoutAttemptIsRefusedWithinHalfOfItsTime() {
-        // Danger: a client that waited longer for a refusal, with nothing tried, has lost that time too.
+        // The client keeps time for a retry.
         Timeline t = Timeline.with(0, 1, 1);
         for (int i = 0; i < 16; i++) {
             onlySend(t.read("out" + i, i));
@@ -238,7 +239,7 @@
                         .count());
     }
 
-    /** A key whose slot belongs to this one of two caches. */
+    /** Returns a key whose slot belongs to the given one of two caches. */
     private static long keyOf(long server) {
         for (int i = 1; ; i++) {
             if (onlySend(Timeline.with(0, 1, 2).read("r", Hash.mix(i))).server() == server) {
@@ -249,7 +250,7 @@
 
     @Test
     void trialsOfManyBalancersAreRareAndNotInStep() {
-        // Danger: 63 of them, in step, pushed a cache over as it came back.
+        // Trials in step would overload a recovering cache.
         List<Long> lastTrials = new ArrayList<>();
         for (int index = 0; index < 8; index++) {
             Timeline t = Timeline.with(index, 64, 2);
@@ -275,7 +276,7 @@
 
     @Test
     void aZoneThatAnswersAgainIsRestoredAtOnce() {
-        // Danger: each server behind a healed link would wait for a trial of its own, up to seconds.
+        // After a partition the servers must not wait for a trial each.
         Timeline t = Timeline.with(0, 1, 8);
         for (int i = 0; i < 600; i++) {
             for (Send send : sends(t.read("cut" + i, Hash.mix(i + 1)))) {
@@ -479,11 +480,11 @@
         long had = before.values().stream().filter(c -> c == 3).count();
         assertTrue(kept > 0 && kept < had / 2, kept + " of " + had);
         before.forEach((key, owner) -> assertTrue(owner == 3 || owner.equals(after.get(key))));
-        one.pass(2 * SECOND); // unheard since: what it told is no more
+        one.pass(2 * SECOND); // the peer is silent by now, and its loads are dropped
         assertEquals(before, owners(one, 600));
     }
 
-    /** Peers of a large fleet are heard, each with so many misses queued; one round takes the time given. */
+    /** Receives a state with {@code queue} queued misses from each peer, and lets time pass. */
     private static void exchangeStates(Timeline t, int balancers, int sequence, int queue, long micros) {
         PeerStatus status = new PeerStatus(
                 t.rules.ledger.period, t.rules.ledger.positionMillis(), 0, queue, 6.7f, 0, 5, 0, 100, 0, 0, 0);
@@ -495,7 +496,7 @@
 
     @Test
     void rotatingCreditsOfALargeTierAreSavedForTheNextMiss() {
-        Timeline t = Timeline.with(0, 100, 3); // X is 100: a credit a second for each
+        Timeline t = Timeline.with(0, 100, 3); // X is 100: a credit per second for each
         int fetched = 0;
         for (int i = 0; i < 20; i++) {
             for (int r = 0; r < 4; r++) {
@@ -507,7 +508,7 @@
             t.end(onlySend(t.read("r" + i, 1000 + i)), Outcome.MISS);
             exchangeStates(t, 100, 5 * i + 5, 2, 250_000);
             List<Send> sends = sends(t.actions);
-            if (sends.get(sends.size() - 1).server() != Timeline.ORIGIN) { // the cache is asked again first
+            if (sends.get(sends.size() - 1).server() != Timeline.ORIGIN) { // first a recheck of the cache
                 t.end(sends.get(sends.size() - 1), Outcome.MISS);
                 t.pass(100_000);
                 sends = sends(t.actions);
@@ -518,10 +519,10 @@
                 t.end(last, Outcome.SERVED);
             }
         }
-        assertTrue(fetched >= 16, fetched + " of 20 misses bought their fetch in time");
+        assertTrue(fetched >= 16, fetched + " of 20 misses fetched in time");
     }
 
-    /** Danger: where the store can't take all, the oldest first means that each is fetched when its time is nearly over. */
+    /** With the oldest first, an overloaded origin would serve each when its time is nearly over. */
     @Test
     void theNewestOfEquallyWorthyKeysIsFetchedFirst() {
         Timeline t = Timeline.with(0, 1, 3);
@@ -553,13 +554,13 @@
                 0,
                 0,
                 true,
-                false)); // an answer is taken to need 200 ms till some have come
+                false)); // the expected answer time is 200 ms before any answer
         assertEquals(List.of(), sends(late));
         assertEquals("late", Timeline.of(late, Decisions.Refuse.class).get(0).request());
         Send send = onlySend(
                 t.event(new Decisions.Request("soon", "read", "t", true, 7, t.now + 300_000, 0, 0, true, false)));
         assertEquals("soon", send.request());
-        t.end(send, Outcome.MISS); // a write is worth its fetch however little time there is
+        t.end(send, Outcome.MISS); // writes are sent with any time left
         assertEquals(
                 1,
                 sends(t.event(new Decisions.Request("w", "write", "t", true, 8, t.now + 100_000, 0, 0, false, true)))
@@ -580,7 +581,7 @@
         t.pass(10 * SECOND);
         for (int i = 0;
                 i < 400 && sends(readWithLittleTime(t, "c" + i)).isEmpty();
-                i++) { // a read with all its time goes on all the same
+                i++) { // reads with their full time are still sent
             t.end(onlySend(t.read("d" + i, i)), Outcome.SERVED);
             t.pass(100_000);
         }
@@ -651,7 +652,7 @@
         int[] fleets = {4, 100};
         for (int i = 0; i < 2; i++) {
             Timeline t = Timeline.withPricedMessages(0, fleets[i], 3);
-            for (int r = 0; r < 200; r++) { // ten requests a second, a message after each change otherwise
+            for (int r = 0; r < 200; r++) { // ten per second, each of which would cause messages
                 Send send = onlySend(t.read("r" + r, r));
                 t.pass(50_000);
                 t.end(send, Outcome.MISS);
@@ -661,11 +662,11 @@
             }
             sent[i] = Timeline.of(t.actions, Decisions.TellPeer.class).size();
         }
-        assertTrue(sent[0] >= 80, "four balancers tell as before: " + sent[0]);
-        assertTrue(sent[1] >= 18 && sent[1] <= 24, "a hundred: once a second, " + sent[1]);
+        assertTrue(sent[0] >= 80, "four balancers are not limited: " + sent[0]);
+        assertTrue(sent[1] >= 18 && sent[1] <= 24, "a hundred send once per second, " + sent[1]);
     }
 
-    /** Danger: a hundred that tell once a second in step hear of a queue at once, leave it, and all come back a second on. */
+    /** Balancers that send in step react to a queue all at once, and oscillate. */
     @Test
     void balancersDoNotSendInStep() {
         List<Timeline> fleet = new ArrayList<>();
@@ -685,7 +686,7 @@
             all += step >= 60 ? telling : 0;
             most = Math.max(most, step >= 60 ? telling : 0);
         }
-        assertTrue(all >= 100 && most <= 10, all + " messages in 7 s, " + most + " of 20 at once");
+        assertTrue(all >= 100 && most <= 10, all + " messages in 7 s, " + most + " of 20 in one step");
     }
 
     @Test
@@ -697,7 +698,7 @@
         assertEquals(1, sends(t.actions).size());
     }
 
-    /** Danger: where clients give up long before their class's aim, a queue that is too long for them seemed short. */
+    /** Clients may give up before the aim of their class, and then a shorter queue is too long for them. */
     @Test
     void slowAnswersAreJudgedByTheTimeThatClientsWait() {
         int[] out = new int[2];
@@ -715,10 +716,12 @@
                 out[variant] += sends(t.read("b" + i, i)).size();
             }
         }
-        assertTrue(out[0] >= Rules.INITIAL_CONCURRENCY_LIMIT && out[1] <= 4, out[0] + " and " + out[1] + " may be out");
+        assertTrue(
+                out[0] >= Rules.INITIAL_CONCURRENCY_LIMIT && out[1] <= 4,
+                out[0] + " and " + out[1] + " may be outstanding");
     }
 
-    /** Danger: first come, first served, and where more come than can be served all are late. */
+    /** In order of arrival all answers would be late under overload. */
     @Test
     void requestsInTimeGoBeforeLateOnes() {
         Timeline t = Timeline.with(0, 1, 1);
@@ -737,7 +740,7 @@
     @Test
     void aMissTakesLessOfAColdCachesTokensThanAHit() {
         int[] asked = new int[2];
-        List<Long> ownKeys = new ArrayList<>(); // more of them than its part: its tokens are what bounds it
+        List<Long> ownKeys = new ArrayList<>(); // so many that only its tokens limit it
         owners(Timeline.with(0, 1, 4), 3_200).forEach((key, owner) -> {
             if (owner == 4) {
                 ownKeys.add(Hash.mix(key + 1));
@@ -771,7 +774,7 @@
 
     @Test
     void aPeriodThatAPeerEndsFirstIsStillEvaluated() {
-        // Danger: its word of the new period came just before the own tick, each time, and X stood still.
+        // The peer's message on the new period arrives just before each own tick.
         Timeline t = Timeline.with(1, 2, 3);
         for (int i = 1; i <= 10; i++) {
             PeerStatus status = new PeerStatus(i, 0, 0, 0, 0, 0, 5, 0, 0, 4 * i, 200L * i, 0);
@@ -818,7 +821,7 @@
         assertTrue(t.rules.budget.effectiveAllowance() > fallen, "X " + t.rules.budget.effectiveAllowance());
     }
 
-    /** More misses than credits for some seconds, with every fetch ended alike. */
+    /** Causes more misses than credits for some seconds; every fetch has the given outcome. */
     private static void flood(Timeline t, int seconds, Outcome origin) {
         int start = t.actions.size();
         List<Send> open = new ArrayList<>();
@@ -850,7 +853,7 @@
         t.pass(SECOND);
         assertTrue(t.rules.ledger.contended, "a fresh peer's queue counts");
         t.pass(4 * SECOND);
-        assertTrue(!t.rules.ledger.contended, "a silent one's does not");
+        assertTrue(!t.rules.ledger.contended, "a silent peer's queue does not");
     }
 
     @Test
@@ -871,12 +874,12 @@
                 t.list(ListKind.FAILED, List.of());
             }
         }
-        assertTrue(times.get(1) - times.get(0) < SECOND / 2 + SECOND / 10, "it may have been that one call: " + times);
+        assertTrue(times.get(1) - times.get(0) < SECOND / 2 + SECOND / 10, "first retry soon: " + times);
         double last = (double) (times.get(times.size() - 1) - times.get(4)) / (times.size() - 5);
-        assertTrue(last >= 1.2 * SECOND, "calm once it is down: " + times);
+        assertTrue(last >= 1.2 * SECOND, "backed off during an outage: " + times);
         for (int i = 1; i < times.size(); i++) {
             long pause = times.get(i) - times.get(i - 1);
-            assertTrue(pause >= SECOND / 4 && pause <= 2.1 * SECOND, "known soon after it is back: " + times);
+            assertTrue(pause >= SECOND / 4 && pause <= 2.1 * SECOND, "bounded delay: " + times);
         }
     }
 
--- a/balancer/src/test/java/merlinstep/StoreLimitTest.java
+++ b/balancer/src/test/java/merlinstep/StoreLimitTest.java
@@ -17,14 +17,14 @@
 import merlinstep.Decisions.Send;
 import org.junit.Test;
 
-/** X against a store with places, a queue and a speed that changes, under more misses than it can take. */
+/** Tests the estimate of X with an origin of limited concurrency and varying speed, mostly under overload. */
 public class StoreLimitTest {
 
     private static final int STEP_MICROS = 5_000;
     private static final int CONCURRENCY = 3;
-    /** The client's whole time: what the store has not answered by then has timed out. */
+    /** Timeout of a fetch. */
     private static final long DEADLINE_MICROS = 1_500_000;
-    /** What leaves time enough for the miss before it, of an aim of 800 ms. */
+    /** Fetch time that leaves enough of an aim of 800 ms for the miss before it. */
     private static final long QUICK_MICROS = 500_000;
 
     private record Fetch(Send send, long sentMicros) {}
@@ -35,10 +35,10 @@
     private final List<Send> open = new ArrayList<>();
     private int requests;
 
-    /** Answers in a second and how many of them took no longer than half of the shortest aim. */
+    /** Answers in a second, and how many of them were within {@link #QUICK_MICROS}. */
     private record SecondResult(int answered, int quick) {}
 
-    /** A second of {@code misses} reads of as many keys, at a store that takes {@code serviceMicros} for each. */
+    /** Runs a second with {@code misses} reads of distinct keys; the origin takes {@code serviceMicros} for each. */
     private SecondResult runSecond(int misses, long serviceMicros) {
         int answered = 0;
         int quick = 0;
@@ -49,7 +49,7 @@
                 open.addAll(Timeline.sends(timeline.read(id, Hash.mix(requests))));
             }
             open.addAll(Timeline.sends(timeline.pass(STEP_MICROS)));
-            for (int i = 0; i < open.size(); i++) { // grows while it is gone through: a miss may buy a fetch
+            for (int i = 0; i < open.size(); i++) { // grows during the loop: a miss may cause a fetch
                 Send send = open.get(i);
                 if (send.server() != Timeline.ORIGIN) {
                     open.addAll(Timeline.sends(timeline.end(send, Outcome.MISS)));
@@ -70,7 +70,7 @@
                     && (inService.size() < CONCURRENCY
                             || timeline.now - queue.peek().sentMicros() >= DEADLINE_MICROS)) {
                 Fetch fetch = queue.remove();
-                if (timeline.now - fetch.sentMicros() >= DEADLINE_MICROS) { // nobody waits for it any more
+                if (timeline.now - fetch.sentMicros() >= DEADLINE_MICROS) { // timed out in the queue
                     endFetch(fetch, Outcome.TIMED_OUT, DEADLINE_MICROS);
                     timeline.event(new RequestGone(fetch.send().request()));
                 } else {
@@ -96,7 +96,7 @@
     @Test
     public void aSaturatedOriginStaysBusyWithAShortQueue() {
         for (int s = 0; s < 10; s++) {
-            runSecond(200, 50_000); // the store takes 60 a second
+            runSecond(200, 50_000); // the origin serves 60 per second
         }
         int answered = 0;
         int quick = 0;
@@ -108,8 +108,8 @@
             least = Math.min(least, now.answered());
         }
         assertTrue(answered + " of 1800 in 30 s", answered >= 1_600);
-        assertTrue(quick + " of " + answered + " in good time", quick >= 0.6 * answered);
-        assertTrue("no second without: " + least, least >= 35);
+        assertTrue(quick + " of " + answered + " within the target time", quick >= 0.6 * answered);
+        assertTrue("least in a second: " + least, least >= 35);
     }
 
     @Test
@@ -117,7 +117,7 @@
         for (int s = 0; s < 6; s++) {
             runSecond(200, 50_000);
         }
-        runSecond(200, 500_000); // ten times slower: six a second, each of them past half of the aim
+        runSecond(200, 500_000); // ten times slower: six per second, each in more than half of the aim
         runSecond(200, 500_000);
         int answered = 0;
         for (int s = 0; s < 12; s++) {
@@ -132,7 +132,7 @@
             runSecond(200, 50_000);
         }
         for (int s = 0; s < 10; s++) {
-            runSecond(200, 1_200_000); // two or three a second
+            runSecond(200, 1_200_000); // two or three per second
         }
         for (int s = 0; s < 5; s++) {
             runSecond(200, 50_000);
@@ -152,7 +152,7 @@
         assertTrue("X " + first + " then " + after, after <= 2 * first);
     }
 
-    /** Danger: a store's window dealt out among a hundred was too little for each to hold a credit, and misses waited. */
+    /** The origin's window divided by a hundred balancers must still leave each a credit. */
     @Test
     public void aMissInAnIdleLargeTierIsFetchedAtOnce() {
         Timeline balancer = Timeline.with(0, 100, 3);
@@ -187,8 +187,8 @@
     }
 
     /**
-     * Danger: what had come back from the store since the last word of it was still paid from the window, which is dealt out
-     * among a hundred, and the ones with many misses waited for the next word while the store was quick.
+     * Fetches that were answered since the last message must not count against the window, or balancers with many
+     * misses wait for the next one.
      */
     @Test
     public void anAnsweredFetchFreesItsPlaceInTheWindow() {
@@ -211,7 +211,7 @@
                         0);
                 balancer.event(new PeerMessage(from, status.encode(from, period + 1, CacheLoads.NONE)));
             }
-            for (int miss = 0; miss < 8; miss++) { // nine credits a period and four places are each one's part
+            for (int miss = 0; miss < 8; miss++) { // each has nine credits per period and four places
                 Send ask = Timeline.onlySend(balancer.read("m" + period + miss, Hash.mix(8 * period + miss)));
                 for (Send fetch : Timeline.sends(balancer.end(ask, Outcome.MISS))) {
                     balancer.pass(40_000);
@@ -222,12 +222,10 @@
             }
             balancer.pass(1_000_000 - balancer.rules.ledger.positionMillis() * 1000L % 1_000_000);
         }
-        assertTrue(
-                fetched + " of 40 bought their fetch at once, X " + balancer.rules.budget.effectiveAllowance(),
-                fetched >= 38);
+        assertTrue(fetched + " of 40 fetched at once, X " + balancer.rules.budget.effectiveAllowance(), fetched >= 38);
     }
 
-    /** Danger: the least of a hundred noisy estimates is too low, and each went by it. A few have no noise to spare. */
+    /** The lowest of a hundred noisy estimates is too low by chance; among a few, the lowest applies. */
     @Test
     public void outliersAreIgnoredAmongManyEstimatesButNotAmongFew() {
         for (int balancers : new int[] {4, 100}) {
--- a/balancer/src/test/java/merlinstep/TierCreditsTest.java
+++ b/balancer/src/test/java/merlinstep/TierCreditsTest.java
@@ -15,9 +15,8 @@
 import org.junit.Test;
 
 /**
- * What a whole tier fetches in a period, of any size and however many of its messages are lost or late. Each goes by what the others
- * told, up to a second ago: in the worst period what was fetched since is granted once more, and each may have kept one credit.
- * So no more than twice X and one for each balancer.
+ * Tests a bound of the fetches of a whole tier in a period, under loss and delay of messages: twice X, as states may be
+ * a second old, and one saved credit per balancer.
  */
 public class TierCreditsTest {
 
@@ -59,7 +58,7 @@
         }
     }
 
-    /** The most that a period's fetches came to, against what the periods around it allowed. */
+    /** Returns the highest ratio of a period's fetches to its bound. */
     private double worstRatio(int balancers, double misses, int periods, boolean priced) {
         tier.clear();
         scheduled.clear();
@@ -78,8 +77,7 @@
                     scheduled.poll().task().run();
                 }
                 for (int i = 0; i < balancers; i++) {
-                    if (random.nextDouble()
-                            < misses * (i % 4 == 0 ? 3 : 1) * STEP_MICROS / 1e6) { // some have more than others
+                    if (random.nextDouble() < misses * (i % 4 == 0 ? 3 : 1) * STEP_MICROS / 1e6) { // uneven load
                         act(i, tier.get(i).read("r" + nextNumber++, random.nextLong()));
                     }
                 }
@@ -108,7 +106,7 @@
                 maxDelayMicros = draw == 0 ? 8_000 : random.nextInt(800_000);
                 double worst = worstRatio(tierSpec[0], tierSpec[1], tierSpec[0] > 100 ? 3 : 6, draw != 1);
                 assertTrue(
-                        tierSpec[0] + " balancers, draw " + draw + ", loss " + loss + ", late by " + maxDelayMicros
+                        tierSpec[0] + " balancers, draw " + draw + ", loss " + loss + ", delay up to " + maxDelayMicros
                                 + " us: " + worst,
                         worst <= 1);
             }
--- a/balancer/src/test/java/merlinstep/Timeline.java
+++ b/balancer/src/test/java/merlinstep/Timeline.java
@@ -29,7 +29,7 @@
 import merlinstep.Decisions.TimerFired;
 import merlinstep.Decisions.Weights;
 
-/** One instance on a fake timeline: timers fire by themselves as time moves on, actions are kept for the test. */
+/** A decision module in virtual time; fires its timers as time passes, and records its actions. */
 final class Timeline {
 
     static final long ORIGIN = 999;
@@ -46,14 +46,14 @@
         now = start;
     }
 
-    /** An instance of {@code balancers}, started with {@code caches} caches and an origin. */
+    /** Returns an instance in a tier of {@code balancers}, with {@code caches} caches and an origin. */
     static Timeline with(int index, int balancers, int caches) {
         Timeline t = new Timeline(settings(index, balancers, 6), 5 * SECOND);
         t.list(ListKind.LAST_KNOWN, servers(caches));
         return t;
     }
 
-    /** The same where messages to others have a price: each tells once a second where they are many. */
+    /** Returns the same with a price on peer messages, which large tiers then send once per second. */
     static Timeline withPricedMessages(int index, int balancers, int caches) {
         Settings s = settings(index, balancers, 6);
         Timeline t = new Timeline(
@@ -86,7 +86,7 @@
         return t;
     }
 
-    /** Settings with other figures of the rules. */
+    /** Returns the settings with other rules. */
     static Settings withRules(Settings s, RuleFigures rules) {
         return new Settings(
                 s.index(),
@@ -166,7 +166,7 @@
                 5_000);
     }
 
-    /** Hands one event in at the present time and gives the actions that it caused. */
+    /** Passes an event at the current time, and returns the actions that it caused. */
     List<Action> event(Event event) {
         int before = actions.size();
         rules.decide(now, event, action -> {
@@ -178,7 +178,7 @@
         return List.copyOf(actions.subList(before, actions.size()));
     }
 
-    /** Lets time pass, firing timers as they fall due; gives the actions of that time. */
+    /** Advances the time, firing timers as they expire; returns the actions of that time. */
     List<Action> pass(long micros) {
         int before = actions.size();
         long end = now + micros;
--- a/tier/src/test/java/merlinstep/FullMesh.java
+++ b/tier/src/test/java/merlinstep/FullMesh.java
@@ -37,8 +37,8 @@
 import merlinstep.Decisions.Weights;
 
 /**
- * A tier of today's decision modules in virtual time, each of which tells all others. Requests hit a router or miss; the store
- * answers quickly up to its capacity. For comparison with the exchange in groups.
+ * A tier of decision modules in virtual time that exchange states in a full mesh, for comparison with the exchange in
+ * groups. Requests hit a router or miss; the origin answers quickly up to its capacity.
  */
 public final class FullMesh {
 
@@ -67,7 +67,7 @@
     public final Network network;
     public long now = 1_000 * SECOND;
     public long fetchedInSecond;
-    /** Processor time of what other balancers' messages and the ticks cost. */
+    /** CPU time of handling peer messages and ticks. */
     public long controlNanos;
 
     private final Node[] nodes;
@@ -113,7 +113,7 @@
         nodes[balancer].missesPerSecond = perSecond;
     }
 
-    /** The highest of the allowances that anyone goes by. */
+    /** Returns the highest allowance that a running balancer applies. */
     public double allowance() {
         double most = 0;
         for (Node node : nodes) {
@@ -122,7 +122,7 @@
         return most;
     }
 
-    /** How old what one balancer knows of another is, in seconds; NaN where it has heard nothing. */
+    /** Returns the age in seconds of one balancer's state at another; NaN if it has received none. */
     public double age(int of, int at) {
         long sent = nodes[at].heardSentMicros[of];
         return sent == 0 ? Double.NaN : (now - sent) / (double) SECOND;
@@ -175,7 +175,7 @@
         }
     }
 
-    /** Lets time pass by whole steps. */
+    /** Advances the time in whole steps. */
     public void pass(long micros) {
         for (long end = now + micros; now < end; ) {
             now += STEP_MICROS;
@@ -196,7 +196,7 @@
 
     private void receive(int from, int to, byte[] datagram) {
         if (!nodes[to].down) {
-            // The delay is known here; what it says is as old as that.
+            // The state is as old as the message's delay.
             nodes[to].heardSentMicros[from] = now - network.delayMicros(from, to);
             event(to, new PeerMessage(from, datagram));
         }
@@ -230,7 +230,7 @@
         }
     }
 
-    /** The share of a core that control takes at each balancer. */
+    /** Returns the mean fraction of a core that each balancer uses for peer messages and ticks. */
     public double controlShare(double seconds) {
         return controlNanos / NANOS / seconds / nodes.length;
     }
--- a/tier/src/test/java/merlinstep/SameSplitTest.java
+++ b/tier/src/test/java/merlinstep/SameSplitTest.java
@@ -29,7 +29,7 @@
 import net.jqwik.api.constraints.LongRange;
 import org.junit.Assert;
 
-/** The split and the messages beside those of the decision module, which stands in this package. */
+/** Compares the split and the messages with those of the decision module, whose package this is in. */
 class SameSplitTest {
 
     private static final String SEED = "4712";
@@ -40,7 +40,7 @@
             @ForAll @LongRange(min = 0, max = 5_000) long total,
             @ForAll long seed) {
         Random random = new Random(seed);
-        int drawRange = random.nextBoolean() ? 4 : 1 << 16; // few draws, so that ties are common
+        int drawRange = random.nextBoolean() ? 4 : 1 << 16; // ties are common
         double[] weights = new double[balancers];
         int[] draws = new int[balancers];
         for (int i = 0; i < balancers; i++) {
