--- a/balancer/src/test/java/merlinstep/RulesTest.java
+++ b/balancer/src/test/java/merlinstep/RulesTest.java
@@ -38,7 +38,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Behaviour of the module, driven by events on a fake timeline. */
+/** Tests the decision module with events in virtual time. */
 class RulesTest {
 
     private static Map<Long, Long> owners(Timeline t, int keys) {
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void onlyTheKeysOfALostCacheMove() {
+    void onlyKeysOfARemovedCacheMove() {
         Timeline t = Timeline.with(0, 1, 10);
         Map<Long, Long> before = owners(t, 1_000);
         t.list(ListKind.CHANGES, List.of(cache(3, State.GONE, 0)));
@@ -76,14 +76,14 @@
     }
 
     @Test
-    void aDrainingCacheGetsNothingFromTheMomentItIsTold() {
+    void aDrainingCacheGetsNoRequests() {
         Timeline t = Timeline.with(0, 1, 4);
         t.list(ListKind.CHANGES, List.of(cache(2, State.DRAINING, 0)));
         assertTrue(owners(t, 500).values().stream().noneMatch(c -> c == 2));
     }
 
     @Test
-    void aCacheMissingFromAWholeListIsGone() {
+    void aCacheMissingFromAWholeListIsRemoved() {
         Timeline t = Timeline.with(0, 1, 4);
         t.list(ListKind.WHOLE, servers(3));
         assertTrue(owners(t, 500).values().stream().noneMatch(c -> c == 4));
@@ -95,7 +95,7 @@
     }
 
     @Test
-    void aColdCacheTakesFewerSlotsAtFirst() {
+    void aColdCacheGetsFewerSlots() {
         Timeline t = Timeline.with(0, 1, 4);
         owners(t, 200);
         t.list(ListKind.CHANGES, List.of(cache(4, State.RUNNING, t.now)));
@@ -106,7 +106,7 @@
     }
 
     @Test
-    void aMissBuysOneFetchAndTheRestAskTheCacheAfterIt() {
+    void concurrentMissesOfAKeyShareOneFetch() {
         Timeline t = Timeline.with(0, 1, 3);
         Send first = onlySend(t.read("a", 7));
         Send second = onlySend(t.read("b", 7));
@@ -119,7 +119,7 @@
     }
 
     @Test
-    void anotherFetchIsBoughtWhenTheFirstFails() {
+    void aFailedFetchIsRetried() {
         Timeline t = Timeline.with(0, 1, 3);
         Send ask = onlySend(t.read("a", 7));
         Send fetch = onlySend(t.end(ask, Outcome.MISS));
@@ -141,7 +141,7 @@
     }
 
     @Test
-    void anEmptyListHoldsAndThenRefuses() {
+    void requestsWithoutServersAreHeldAndThenRefused() {
         Timeline t = new Timeline(Timeline.settings(0, 1, 6), 0);
         t.list(ListKind.LAST_KNOWN, List.of());
         t.read("a", 7);
@@ -150,8 +150,8 @@
     }
 
     @Test
-    void aTryWithLessTimeThanATickIsAnsweredAtOnce() {
-        // Danger: held until the next tick it would be lost.
+    void aRequestWithLessTimeThanATickIsRefusedAtOnce() {
+        // It would expire before the next tick.
         Timeline t = new Timeline(Timeline.settings(0, 1, 6), 0);
         t.list(ListKind.LAST_KNOWN, List.of());
         List<Action> actions = t.event(new Request("a", "read", "t", true, 7, t.now + 20_000, 0, 0, false, false));
@@ -159,8 +159,8 @@
     }
 
     @Test
-    void fullAnswersAreNotAskedOnAtOnce() {
-        // Danger: a storm over all caches.
+    void fullAnswersAreNotRetriedAtOnce() {
+        // Immediate retries would overload the other caches.
         Timeline t = Timeline.with(0, 1, 5);
         Send ask = onlySend(t.read("a", 7));
         assertEquals(List.of(), sends(t.end(ask, Outcome.FULL)));
@@ -168,38 +168,38 @@
     }
 
     @Test
-    void aSilentCacheIsLeftAndItsRequestsGoElsewhere() {
+    void requestsAtASilentCacheAreCancelledAndSentElsewhere() {
         Timeline t = Timeline.with(0, 1, 2);
-        List<Send> stuck = new ArrayList<>();
-        for (int i = 0; stuck.size() < 4; i++) {
+        List<Send> unanswered = new ArrayList<>();
+        for (int i = 0; unanswered.size() < 4; i++) {
             Send send = onlySend(t.read("r" + i, Hash.mix(i + 1)));
             if (send.server() == 1) {
-                stuck.add(send);
+                unanswered.add(send);
             } else {
                 t.end(send, Outcome.SERVED);
             }
         }
-        // Danger: a balancer held up itself heard nobody, and put every server out of use for seconds.
+        // A stalled balancer hears no server, and must not take all of them out of use.
         assertEquals(List.of(), of(t.pass(600_000), Cancel.class));
         Send other = onlySend(t.read("other", keyOf(2)));
         t.end(other, Outcome.SERVED);
         List<Cancel> cancels = of(t.pass(100_000), Cancel.class);
         assertEquals(4, cancels.size());
-        assertEquals(2, onlySend(t.end(stuck.get(0), Outcome.CANCELLED)).server());
+        assertEquals(2, onlySend(t.end(unanswered.get(0), Outcome.CANCELLED)).server());
     }
 
     @Test
-    void aCacheThatFailsMostRequestsIsLeftAndUsedAgainWhenItServes() {
-        // Danger: it answers at once and so looks idle; seen were requests that spent all their tries on it.
+    void aFailingCacheIsAvoidedUntilItServesAgain() {
+        // It fails quickly and so looks idle; requests must not spend all their attempts on it.
         Timeline t = Timeline.with(0, 1, 4);
         int[] asked = new int[2];
         for (int i = 0; i < 1_200; i++) {
-            boolean well = i >= 400;
+            boolean healthy = i >= 400;
             List<Send> sends = sends(t.read("r" + i, Hash.mix(i + 1)));
             for (int tries = 0; !sends.isEmpty() && tries < 6; tries++) {
-                boolean bad = sends.get(0).server() == 1;
-                asked[well ? 1 : 0] += bad ? 1 : 0;
-                sends = sends(t.end(sends.get(0), bad && !well ? Outcome.ERROR : Outcome.SERVED));
+                boolean failing = sends.get(0).server() == 1;
+                asked[healthy ? 1 : 0] += failing ? 1 : 0;
+                sends = sends(t.end(sends.get(0), failing && !healthy ? Outcome.ERROR : Outcome.SERVED));
             }
             t.pass(20_000);
         }
@@ -208,7 +208,7 @@
     }
 
     @Test
-    void theKeysOfACacheThatTurnsAllAwayGoToTheNextOne() {
+    void keysOfACacheThatRefusesAllGoToTheNextOne() {
         Timeline t = Timeline.with(0, 1, 2);
         int turnedAway = 0;
         for (int i = 0; i < 60; i++) {
@@ -218,14 +218,15 @@
             }
             t.pass(2_000);
         }
-        assertTrue(turnedAway < 25, turnedAway + " turned away");
+        assertTrue(turnedAway < 25, turnedAway + " refused");
         assertTrue(
-                of(t.actions, Send.class).stream().filter(s -> s.server() == 2).count() >= 50, "the other serves");
+                of(t.actions, Send.class).stream().filter(s -> s.server() == 2).count() >= 50,
+                "served by the other cache");
     }
 
     @Test
-    void whatWasNeverTriedIsRefusedWithinHalfOfItsTime() {
-        // Danger: a client that waited longer for a refusal, with nothing tried, has lost that time too.
+    void aRequestWithoutAttemptIsRefusedWithinHalfOfItsTime() {
+        // The client keeps time for a retry.
         Timeline t = Timeline.with(0, 1, 1);
         for (int i = 0; i < 16; i++) {
             onlySend(t.read("out" + i, i));
@@ -238,7 +239,7 @@
                         .count());
     }
 
-    /** A key whose slot belongs to this one of two caches. */
+    /** Returns a key whose slot belongs to the given one of two caches. */
     private static long keyOf(long server) {
         for (int i = 1; ; i++) {
             if (onlySend(Timeline.with(0, 1, 2).read("r", Hash.mix(i))).server() == server) {
@@ -248,8 +249,8 @@
     }
 
     @Test
-    void manyBalancersTryALostCacheSeldomAndNotInStep() {
-        // Danger: 63 of them, in step, pushed a cache over as it came back.
+    void trialsOfManyBalancersAreRareAndNotInStep() {
+        // Trials in step would overload a recovering cache.
         List<Long> lastTrials = new ArrayList<>();
         for (int index = 0; index < 8; index++) {
             Timeline t = Timeline.with(index, 64, 2);
@@ -274,8 +275,8 @@
     }
 
     @Test
-    void aZoneThatIsHeardAgainIsUsedAgainAtOnce() {
-        // Danger: each server behind a healed link would wait for a trial of its own, up to seconds.
+    void aZoneThatAnswersAgainIsRestoredAtOnce() {
+        // After a partition the servers must not wait for a trial each.
         Timeline t = Timeline.with(0, 1, 8);
         for (int i = 0; i < 600; i++) {
             for (Send send : sends(t.read("cut" + i, Hash.mix(i + 1)))) {
@@ -295,7 +296,7 @@
     }
 
     @Test
-    void anIdenticalTimelineGivesIdenticalActions() {
+    void identicalEventsGiveIdenticalActions() {
         List<List<Action>> runs = new ArrayList<>();
         for (int run = 0; run < 2; run++) {
             Timeline t = Timeline.with(1, 3, 6);
@@ -315,7 +316,7 @@
             value = Outcome.class,
             names = {"SERVED", "NOT_SENT"},
             mode = EnumSource.Mode.EXCLUDE)
-    void anUnsafeRequestIsRepeatedOrRefusedOnlyIfNothingRan(Outcome outcome) {
+    void anUnsafeRequestIsRetriedOrRefusedOnlyIfNothingRan(Outcome outcome) {
         Timeline t = Timeline.with(0, 1, 3);
         Send ask = onlySend(t.request("u", "once", 7, false));
         List<Action> after = new ArrayList<>(t.end(ask, outcome));
@@ -331,7 +332,7 @@
 
     @ParameterizedTest
     @CsvSource({"write, true", "zoned, false", "celled, false"})
-    void aKeyedRequestThatMayHaveRunIsRefusedOnlyIfAllDropItsRepeat(String kind, boolean refusable) {
+    void aKeyedRequestThatMayHaveRunIsRefusedOnlyIfAllServersDropRepeats(String kind, boolean refusable) {
         Timeline t = Timeline.with(0, 1, 3);
         Send sent = onlySend(t.request("w", kind, 7, true));
         assertEquals(ORIGIN, sent.server());
@@ -361,7 +362,7 @@
     }
 
     @Test
-    void attemptsNeverPassTheirMost() {
+    void attemptsPerRequestAreBounded() {
         Timeline t = new Timeline(Timeline.settings(0, 1, 3), 0);
         t.list(ListKind.LAST_KNOWN, servers(4));
         List<Send> open = new ArrayList<>(sends(t.read("a", 7)));
@@ -377,7 +378,7 @@
     }
 
     @Test
-    void everyRequestGetsOneAnswerThroughRandomTrouble() {
+    void everyRequestGetsOneAnswerUnderRandomOutcomes() {
         java.util.Random random = new java.util.Random(5);
         Timeline t = Timeline.with(0, 2, 6);
         Outcome[] outcomes = Outcome.values();
@@ -400,19 +401,19 @@
                 }
                 actions.addAll(t.end(send, outcome));
             }
-            note(actions, open, owed, answers);
+            collect(actions, open, owed, answers);
         }
         for (int rest = 0; rest < 8; rest++) {
             while (!open.isEmpty()) {
-                note(t.end(open.remove(0), Outcome.TIMED_OUT), open, owed, answers);
+                collect(t.end(open.remove(0), Outcome.TIMED_OUT), open, owed, answers);
             }
-            note(t.pass(SECOND), open, owed, answers);
+            collect(t.pass(SECOND), open, owed, answers);
         }
         assertEquals(Set.of(), owed);
         answers.forEach((id, n) -> assertEquals(1, n, id));
     }
 
-    private static void note(List<Action> actions, List<Send> open, Set<String> owed, Map<String, Integer> answers) {
+    private static void collect(List<Action> actions, List<Send> open, Set<String> owed, Map<String, Integer> answers) {
         open.addAll(sends(actions));
         List<String> ended = new ArrayList<>();
         of(actions, Refuse.class).forEach(a -> ended.add(a.request()));
@@ -433,7 +434,7 @@
     }
 
     @Test
-    void aClientThatLeftCostsNoFetch() {
+    void aDisconnectedClientCausesNoFetch() {
         Timeline t = Timeline.with(0, 1, 3);
         Send ask = onlySend(t.read("a", 7));
         t.event(new RequestGone("a"));
@@ -441,7 +442,7 @@
     }
 
     @Test
-    void peerMessagesThatCannotBeAreDropped() {
+    void malformedPeerMessagesAreDropped() {
         Timeline t = Timeline.with(0, 3, 3);
         for (byte[] content : new byte[][] {{}, {1, 2, 3}, new byte[PeerStatus.BYTES], new byte[256]}) {
             for (int from : new int[] {-1, 0, 3, 99, 1}) {
@@ -451,12 +452,12 @@
         assertTrue(!t.rules.peers.all[1].fresh && !t.rules.peers.all[2].fresh);
     }
 
-    private static byte[] message(int incarnation, int sequence, float x, int queue) {
+    private static byte[] statusMessage(int incarnation, int sequence, float x, int queue) {
         return new PeerStatus(0, 100, 0, queue, queue * 2f, 0, 5, 0, x, 0, 0, 0)
                 .encode(incarnation, sequence, CacheLoads.NONE);
     }
 
-    private static void tell(Timeline t, int from, int sequence, long cache, int out) {
+    private static void sendLoad(Timeline t, int from, int sequence, long cache, int out) {
         byte[] loads = ByteBuffer.allocate(3)
                 .putShort((short) CacheLoads.tag(cache))
                 .put((byte) out)
@@ -467,47 +468,47 @@
     }
 
     @Test
-    void aCacheThatOthersCrowdGivesUpSomeOfItsKeysAndTheSameOnesAtEachBalancer() {
+    void anOverloadedCacheGivesUpTheSameKeysAtEveryBalancer() {
         Timeline one = Timeline.with(0, 3, 6);
         Timeline other = Timeline.with(1, 3, 6);
         Map<Long, Long> before = owners(one, 600);
-        tell(one, 2, 1, 3, 12);
-        tell(other, 2, 1, 3, 12);
+        sendLoad(one, 2, 1, 3, 12);
+        sendLoad(other, 2, 1, 3, 12);
         Map<Long, Long> after = owners(one, 600);
         assertEquals(after, owners(other, 600));
         long kept = after.values().stream().filter(c -> c == 3).count();
         long had = before.values().stream().filter(c -> c == 3).count();
         assertTrue(kept > 0 && kept < had / 2, kept + " of " + had);
         before.forEach((key, owner) -> assertTrue(owner == 3 || owner.equals(after.get(key))));
-        one.pass(2 * SECOND); // unheard since: what it told is no more
+        one.pass(2 * SECOND); // the peer is silent by now, and its loads are dropped
         assertEquals(before, owners(one, 600));
     }
 
-    /** Peers of a large fleet are heard, each with so many misses queued; one round takes the time given. */
-    private static void round(Timeline t, int balancers, int sequence, int queue, long micros) {
-        PeerStatus f = new PeerStatus(
+    /** Receives a state with {@code queue} queued misses from each peer, and lets time pass. */
+    private static void exchangeStates(Timeline t, int balancers, int sequence, int queue, long micros) {
+        PeerStatus status = new PeerStatus(
                 t.rules.ledger.period, t.rules.ledger.positionMillis(), 0, queue, 6.7f, 0, 5, 0, 100, 0, 0, 0);
         for (int from = 1; from < balancers; from++) {
-            t.event(new PeerMessage(from, f.encode(from, sequence, CacheLoads.NONE)));
+            t.event(new PeerMessage(from, status.encode(from, sequence, CacheLoads.NONE)));
         }
         t.pass(micros);
     }
 
     @Test
-    void whatComesByTurnsInALargeFleetIsKeptForTheNextMiss() {
-        Timeline t = Timeline.with(0, 100, 3); // X is 100: a credit a second for each
+    void rotatingCreditsOfALargeTierAreSavedForTheNextMiss() {
+        Timeline t = Timeline.with(0, 100, 3); // X is 100: a credit per second for each
         int fetched = 0;
         for (int i = 0; i < 20; i++) {
             for (int r = 0; r < 4; r++) {
-                round(t, 100, 5 * i + r + 1, 2, SECOND / 2);
+                exchangeStates(t, 100, 5 * i + r + 1, 2, SECOND / 2);
             }
             assertTrue(
                     t.rules.ledger.contended,
                     "round " + i + " X " + t.rules.budget.effectiveAllowance() + " " + t.rules.peers.refreshAndCount());
             t.end(onlySend(t.read("r" + i, 1000 + i)), Outcome.MISS);
-            round(t, 100, 5 * i + 5, 2, 250_000);
+            exchangeStates(t, 100, 5 * i + 5, 2, 250_000);
             List<Send> sends = sends(t.actions);
-            if (sends.get(sends.size() - 1).server() != Timeline.ORIGIN) { // the cache is asked again first
+            if (sends.get(sends.size() - 1).server() != Timeline.ORIGIN) { // first a recheck of the cache
                 t.end(sends.get(sends.size() - 1), Outcome.MISS);
                 t.pass(100_000);
                 sends = sends(t.actions);
@@ -518,12 +519,12 @@
                 t.end(last, Outcome.SERVED);
             }
         }
-        assertTrue(fetched >= 16, fetched + " of 20 misses bought their fetch in time");
+        assertTrue(fetched >= 16, fetched + " of 20 misses fetched in time");
     }
 
-    /** Danger: where the store can't take all, the oldest first means that each is fetched when its time is nearly over. */
+    /** With the oldest first, an overloaded origin would serve each when its time is nearly over. */
     @Test
-    void ofKeysThatAreWorthTheSameTheNewestIsFetchedFirst() {
+    void theNewestOfEquallyWorthyKeysIsFetchedFirst() {
         Timeline t = Timeline.with(0, 1, 3);
         List<Send> fetches = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
@@ -541,7 +542,7 @@
     }
 
     @Test
-    void whatCannotBeBackInTimeIsRefusedAtOnceAndNeverSent() {
+    void readsWithTooLittleTimeAreRefusedAtOnce() {
         Timeline t = Timeline.with(0, 1, 3);
         List<Decisions.Action> late = t.event(new Decisions.Request(
                 "late",
@@ -553,13 +554,13 @@
                 0,
                 0,
                 true,
-                false)); // an answer is taken to need 200 ms till some have come
+                false)); // the expected answer time is 200 ms before any answer
         assertEquals(List.of(), sends(late));
         assertEquals("late", Timeline.of(late, Decisions.Refuse.class).get(0).request());
         Send send = onlySend(
                 t.event(new Decisions.Request("soon", "read", "t", true, 7, t.now + 300_000, 0, 0, true, false)));
         assertEquals("soon", send.request());
-        t.end(send, Outcome.MISS); // a write is worth its fetch however little time there is
+        t.end(send, Outcome.MISS); // writes are sent with any time left
         assertEquals(
                 1,
                 sends(t.event(new Decisions.Request("w", "write", "t", true, 8, t.now + 100_000, 0, 0, false, true)))
@@ -567,34 +568,34 @@
     }
 
     @Test
-    void timeOutsOfReadsWithLittleTimeKeepSuchReadsAwayAndAnswersLetThemInAgain() {
+    void timeoutsStopReadsWithLittleTimeAndAnswersAdmitThemAgain() {
         Timeline t = Timeline.with(0, 1, 3);
-        for (int i = 0; i < 400 && !sends(little(t, "a" + i)).isEmpty(); i++) {
+        for (int i = 0; i < 400 && !sends(readWithLittleTime(t, "a" + i)).isEmpty(); i++) {
             Send send = sends(t.actions).get(sends(t.actions).size() - 1);
             t.pass(400_000);
             t.event(new Decisions.AttemptEnded(
                     "a" + i, 0, send.server(), Outcome.TIMED_OUT, 400_000, false, 0, new double[0]));
             t.pass(100_000);
         }
-        assertEquals("b", of(little(t, "b"), Refuse.class).get(0).request());
+        assertEquals("b", of(readWithLittleTime(t, "b"), Refuse.class).get(0).request());
         t.pass(10 * SECOND);
         for (int i = 0;
-                i < 400 && sends(little(t, "c" + i)).isEmpty();
-                i++) { // a read with all its time goes on all the same
+                i < 400 && sends(readWithLittleTime(t, "c" + i)).isEmpty();
+                i++) { // reads with their full time are still sent
             t.end(onlySend(t.read("d" + i, i)), Outcome.SERVED);
             t.pass(100_000);
         }
-        assertEquals(1, sends(little(t, "e")).size());
+        assertEquals(1, sends(readWithLittleTime(t, "e")).size());
     }
 
-    private static List<Decisions.Action> little(Timeline t, String id) {
+    private static List<Decisions.Action> readWithLittleTime(Timeline t, String id) {
         return t.event(new Decisions.Request(id, "read", "t", true, 7, t.now + 400_000, 0, 0, true, false));
     }
 
     @Test
-    void aTimeOutOfAClientWithLittleTimeSaysNothingOfTheStore() {
+    void timeoutsByShortDeadlinesDoNotLowerTheAllowance() {
         double[] x = new double[2];
-        for (int way = 0; way < 2; way++) {
+        for (int variant = 0; variant < 2; variant++) {
             Timeline t = Timeline.with(0, 1, 3);
             for (int i = 0; i < 40; i++) {
                 Send write = onlySend(t.request("w" + i, "write", i, true));
@@ -603,26 +604,26 @@
                         0,
                         write.server(),
                         Outcome.TIMED_OUT,
-                        way == 0 ? 60_000 : 900_000,
+                        variant == 0 ? 60_000 : 900_000,
                         true,
                         0,
                         new double[0]));
                 t.pass(100_000);
             }
-            x[way] = t.rules.budget.effectiveAllowance();
+            x[variant] = t.rules.budget.effectiveAllowance();
         }
         assertTrue(x[0] == 100 && x[1] < 50, "X after short time-outs " + x[0] + ", after long ones " + x[1]);
     }
 
     @Test
-    void oneBalancerOutOfCreditsTeachesAHundredTheirAllowance() {
+    void oneBalancerOutOfCreditsRaisesTheAllowanceOfAll() {
         for (int queue = 0; queue <= 3; queue += 3) {
             Timeline t = Timeline.with(0, 100, 3);
             double before = t.rules.budget.effectiveAllowance();
             for (int i = 1; i <= 12; i++) {
                 for (int from = 1; from < 100; from++) {
                     boolean busy = from == 7;
-                    PeerStatus f = new PeerStatus(
+                    PeerStatus status = new PeerStatus(
                             t.rules.ledger.period,
                             t.rules.ledger.positionMillis(),
                             0,
@@ -635,7 +636,7 @@
                             2 * i,
                             100L * i,
                             0);
-                    t.event(new PeerMessage(from, f.encode(from, i, CacheLoads.NONE)));
+                    t.event(new PeerMessage(from, status.encode(from, i, CacheLoads.NONE)));
                 }
                 t.pass(SECOND / 2);
             }
@@ -646,12 +647,12 @@
     }
 
     @Test
-    void whatMessagesCostIsBoundedHoweverManyHearThem() {
-        int[] told = new int[2];
+    void theCostOfMessagesIsBoundedInLargeTiers() {
+        int[] sent = new int[2];
         int[] fleets = {4, 100};
         for (int i = 0; i < 2; i++) {
-            Timeline t = Timeline.withDearMessages(0, fleets[i], 3);
-            for (int r = 0; r < 200; r++) { // ten requests a second, a message after each change otherwise
+            Timeline t = Timeline.withPricedMessages(0, fleets[i], 3);
+            for (int r = 0; r < 200; r++) { // ten per second, each of which would cause messages
                 Send send = onlySend(t.read("r" + r, r));
                 t.pass(50_000);
                 t.end(send, Outcome.MISS);
@@ -659,18 +660,18 @@
                 List<Send> fetch = sends(t.actions);
                 t.end(fetch.get(fetch.size() - 1), Outcome.SERVED);
             }
-            told[i] = Timeline.of(t.actions, Decisions.TellPeer.class).size();
+            sent[i] = Timeline.of(t.actions, Decisions.TellPeer.class).size();
         }
-        assertTrue(told[0] >= 80, "four balancers tell as before: " + told[0]);
-        assertTrue(told[1] >= 18 && told[1] <= 24, "a hundred: once a second, " + told[1]);
+        assertTrue(sent[0] >= 80, "four balancers are not limited: " + sent[0]);
+        assertTrue(sent[1] >= 18 && sent[1] <= 24, "a hundred send once per second, " + sent[1]);
     }
 
-    /** Danger: a hundred that tell once a second in step hear of a queue at once, leave it, and all come back a second on. */
+    /** Balancers that send in step react to a queue all at once, and oscillate. */
     @Test
-    void manyDoNotTellInStep() {
+    void balancersDoNotSendInStep() {
         List<Timeline> fleet = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            fleet.add(Timeline.withDearMessages(i, 100, 3));
+            fleet.add(Timeline.withPricedMessages(i, 100, 3));
         }
         int all = 0;
         int most = 0;
@@ -685,42 +686,44 @@
             all += step >= 60 ? telling : 0;
             most = Math.max(most, step >= 60 ? telling : 0);
         }
-        assertTrue(all >= 100 && most <= 10, all + " messages in 7 s, " + most + " of 20 at once");
+        assertTrue(all >= 100 && most <= 10, all + " messages in 7 s, " + most + " of 20 in one step");
     }
 
     @Test
-    void whatOthersHaveOutCountsAgainstTheLimitOfACache() {
+    void attemptsOfPeersCountAgainstTheLimitOfACache() {
         Timeline t = Timeline.with(0, 2, 1);
-        tell(t, 1, 1, 1, (int) Rules.INITIAL_CONCURRENCY_LIMIT);
+        sendLoad(t, 1, 1, 1, (int) Rules.INITIAL_CONCURRENCY_LIMIT);
         assertEquals(List.of(), sends(t.read("a", 7)));
-        tell(t, 1, 2, 1, 0);
+        sendLoad(t, 1, 2, 1, 0);
         assertEquals(1, sends(t.actions).size());
     }
 
-    /** Danger: where clients give up long before their class's aim, a queue that is too long for them seemed short. */
+    /** Clients may give up before the aim of their class, and then a shorter queue is too long for them. */
     @Test
-    void whatIsLateTurnsOnTheTimeThatTheClientGives() {
+    void slowAnswersAreJudgedByTheTimeThatClientsWait() {
         int[] out = new int[2];
         long[] gives = {1_500_000, 380_000};
-        for (int way = 0; way < 2; way++) {
+        for (int variant = 0; variant < 2; variant++) {
             Timeline t = Timeline.with(0, 1, 1);
             for (int i = 0; i < 200; i++) {
-                Send send = onlySend(
-                        t.event(new Request("a" + i, "read", "t", true, i, t.now + gives[way], 0, 0, false, false)));
+                Send send = onlySend(t.event(
+                        new Request("a" + i, "read", "t", true, i, t.now + gives[variant], 0, 0, false, false)));
                 t.event(new Decisions.AttemptEnded(
                         send.request(), 0, send.server(), Outcome.SERVED, 250_000, true, 1, new double[0]));
                 t.pass(250_000);
             }
             for (int i = 0; i < 40; i++) {
-                out[way] += sends(t.read("b" + i, i)).size();
+                out[variant] += sends(t.read("b" + i, i)).size();
             }
         }
-        assertTrue(out[0] >= Rules.INITIAL_CONCURRENCY_LIMIT && out[1] <= 4, out[0] + " and " + out[1] + " may be out");
+        assertTrue(
+                out[0] >= Rules.INITIAL_CONCURRENCY_LIMIT && out[1] <= 4,
+                out[0] + " and " + out[1] + " may be outstanding");
     }
 
-    /** Danger: first come, first served, and where more come than can be served all are late. */
+    /** In order of arrival all answers would be late under overload. */
     @Test
-    void whatCanBeInTimeGoesBeforeWhatIsLateAlready() {
+    void requestsInTimeGoBeforeLateOnes() {
         Timeline t = Timeline.with(0, 1, 1);
         List<Send> out = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
@@ -735,23 +738,23 @@
     }
 
     @Test
-    void aMissCostsAColdCacheLessThanAnAnswer() {
+    void aMissTakesLessOfAColdCachesTokensThanAHit() {
         int[] asked = new int[2];
-        List<Long> itsKeys = new ArrayList<>(); // more of them than its part: its tokens are what bounds it
+        List<Long> ownKeys = new ArrayList<>(); // so many that only its tokens limit it
         owners(Timeline.with(0, 1, 4), 3_200).forEach((key, owner) -> {
             if (owner == 4) {
-                itsKeys.add(Hash.mix(key + 1));
+                ownKeys.add(Hash.mix(key + 1));
             }
         });
-        for (int way = 0; way < 2; way++) {
+        for (int variant = 0; variant < 2; variant++) {
             Timeline t = Timeline.with(0, 1, 3);
             t.list(ListKind.CHANGES, List.of(cache(4, State.RUNNING, t.now)));
-            for (int i = 0; i < itsKeys.size(); i++) {
-                List<Send> sends = sends(t.read("r" + i, itsKeys.get(i)));
+            for (int i = 0; i < ownKeys.size(); i++) {
+                List<Send> sends = sends(t.read("r" + i, ownKeys.get(i)));
                 for (int tries = 0; !sends.isEmpty() && tries < 3; tries++) {
                     boolean cold = sends.get(0).server() == 4;
-                    asked[way] += cold ? 1 : 0;
-                    sends = sends(t.end(sends.get(0), cold && way == 1 ? Outcome.MISS : Outcome.SERVED));
+                    asked[variant] += cold ? 1 : 0;
+                    sends = sends(t.end(sends.get(0), cold && variant == 1 ? Outcome.MISS : Outcome.SERVED));
                 }
                 t.pass(10_000);
             }
@@ -760,40 +763,40 @@
     }
 
     @Test
-    void overtakenAndRepeatedMessagesChangeNothingAndARestartedPeerIsHeard() {
+    void reorderedMessagesAreIgnoredAndThoseOfARestartedPeerAccepted() {
         Timeline t = Timeline.with(0, 2, 3);
-        t.event(new PeerMessage(1, message(7, 5, 50, 0)));
-        t.event(new PeerMessage(1, message(7, 4, 10, 0)));
+        t.event(new PeerMessage(1, statusMessage(7, 5, 50, 0)));
+        t.event(new PeerMessage(1, statusMessage(7, 4, 10, 0)));
         assertEquals(50, t.rules.budget.effectiveAllowance(), 1e-6);
-        t.event(new PeerMessage(1, message(8, 1, 20, 0)));
+        t.event(new PeerMessage(1, statusMessage(8, 1, 20, 0)));
         assertEquals(20, t.rules.budget.effectiveAllowance(), 1e-6);
     }
 
     @Test
-    void aPeriodThatALowerNumberedPeerEndsFirstStillTeachesX() {
-        // Danger: its word of the new period came just before the own tick, each time, and X stood still.
+    void aPeriodThatAPeerEndsFirstIsStillEvaluated() {
+        // The peer's message on the new period arrives just before each own tick.
         Timeline t = Timeline.with(1, 2, 3);
         for (int i = 1; i <= 10; i++) {
-            PeerStatus of = new PeerStatus(i, 0, 0, 0, 0, 0, 5, 0, 0, 4 * i, 200L * i, 0);
-            t.event(new PeerMessage(0, of.encode(1, i, CacheLoads.NONE)));
+            PeerStatus status = new PeerStatus(i, 0, 0, 0, 0, 0, 5, 0, 0, 4 * i, 200L * i, 0);
+            t.event(new PeerMessage(0, status.encode(1, i, CacheLoads.NONE)));
             t.pass(999_000);
         }
         assertTrue(t.rules.peers.all[0].countedState.answers() >= 4 * 8);
     }
 
     @Test
-    void whoHasLearntNoXGoesByThePeersThatHave() {
+    void aBalancerWithoutAnEstimateUsesThoseOfItsPeers() {
         Timeline t = Timeline.with(0, 2, 3);
         double first = t.rules.budget.effectiveAllowance();
-        t.event(new PeerMessage(1, message(7, 1, (float) (4 * first), 0)));
+        t.event(new PeerMessage(1, statusMessage(7, 1, (float) (4 * first), 0)));
         assertEquals(4 * first, t.rules.budget.effectiveAllowance(), 0.01);
     }
 
     @Test
-    void oneOldLowEstimateDoesNotBindForEver() {
+    void aStaleLowEstimateExpires() {
         Timeline t = Timeline.with(0, 2, 3);
         t.pass(100_000);
-        t.event(new PeerMessage(1, message(7, 1, 1, 0)));
+        t.event(new PeerMessage(1, statusMessage(7, 1, 1, 0)));
         assertEquals(1, t.rules.budget.effectiveAllowance(), 1e-6);
         t.pass(10 * SECOND);
         assertTrue(t.rules.budget.effectiveAllowance() > 1, "X " + t.rules.budget.effectiveAllowance());
@@ -808,7 +811,7 @@
     }
 
     @Test
-    void theAllowanceFallsOnRefusalsAndComesBack() {
+    void theAllowanceFallsOnRefusalsAndRecovers() {
         Timeline t = Timeline.with(0, 1, 3);
         double before = t.rules.budget.effectiveAllowance();
         flood(t, 4, Outcome.FULL);
@@ -818,7 +821,7 @@
         assertTrue(t.rules.budget.effectiveAllowance() > fallen, "X " + t.rules.budget.effectiveAllowance());
     }
 
-    /** More misses than credits for some seconds, with every fetch ended alike. */
+    /** Causes more misses than credits for some seconds; every fetch has the given outcome. */
     private static void flood(Timeline t, int seconds, Outcome origin) {
         int start = t.actions.size();
         List<Send> open = new ArrayList<>();
@@ -844,24 +847,24 @@
     }
 
     @Test
-    void aSilentPeerKeepsNoSay() {
+    void theStateOfASilentPeerIsIgnored() {
         Timeline t = Timeline.with(0, 2, 3);
-        t.event(new PeerMessage(1, message(7, 1, 50, 900)));
+        t.event(new PeerMessage(1, statusMessage(7, 1, 50, 900)));
         t.pass(SECOND);
         assertTrue(t.rules.ledger.contended, "a fresh peer's queue counts");
         t.pass(4 * SECOND);
-        assertTrue(!t.rules.ledger.contended, "a silent one's does not");
+        assertTrue(!t.rules.ledger.contended, "a silent peer's queue does not");
     }
 
     @Test
-    void quietBalancersSendHeartbeatsOnly() {
+    void idleBalancersSendHeartbeatsOnly() {
         Timeline t = Timeline.with(0, 30, 3);
-        long told = of(t.pass(20 * SECOND), TellPeer.class).size();
-        assertTrue(told >= 15 && told <= 25, told + " messages in 20 s");
+        long sent = of(t.pass(20 * SECOND), TellPeer.class).size();
+        assertTrue(sent >= 15 && sent <= 25, sent + " messages in 20 s");
     }
 
     @Test
-    void aWatchThatFailsIsAskedForAgainLaterAndLater() {
+    void aFailedWatchIsRetriedWithBackoff() {
         Timeline t = new Timeline(Timeline.settings(0, 2, 6, Membership.ASK, true), 0);
         t.list(ListKind.LAST_KNOWN, servers(3));
         List<Long> times = new ArrayList<>();
@@ -871,17 +874,17 @@
                 t.list(ListKind.FAILED, List.of());
             }
         }
-        assertTrue(times.get(1) - times.get(0) < SECOND / 2 + SECOND / 10, "it may have been that one call: " + times);
+        assertTrue(times.get(1) - times.get(0) < SECOND / 2 + SECOND / 10, "first retry soon: " + times);
         double last = (double) (times.get(times.size() - 1) - times.get(4)) / (times.size() - 5);
-        assertTrue(last >= 1.2 * SECOND, "calm once it is down: " + times);
+        assertTrue(last >= 1.2 * SECOND, "backed off during an outage: " + times);
         for (int i = 1; i < times.size(); i++) {
             long pause = times.get(i) - times.get(i - 1);
-            assertTrue(pause >= SECOND / 4 && pause <= 2.1 * SECOND, "known soon after it is back: " + times);
+            assertTrue(pause >= SECOND / 4 && pause <= 2.1 * SECOND, "bounded delay: " + times);
         }
     }
 
     @Test
-    void pushedListsAreNotAskedFor() {
+    void pushedListsNeedNoWatch() {
         assertEquals(List.of(), of(Timeline.with(0, 2, 3).pass(20 * SECOND), WatchServers.class));
     }
 
@@ -896,9 +899,9 @@
     }
 
     @Test
-    void anUnderOneAllowanceStillFetchesNowAndThen() {
+    void anAllowanceBelowOneStillFetches() {
         Timeline t = Timeline.with(0, 2, 3);
-        t.event(new PeerMessage(1, message(7, 1, 0.5f, 0)));
+        t.event(new PeerMessage(1, statusMessage(7, 1, 0.5f, 0)));
         int fetches = 0;
         int sequence = 2;
         for (int s = 0; s < 40; s++) {
@@ -910,7 +913,7 @@
                     t.end(fetch, Outcome.SERVED);
                 }
             }
-            t.event(new PeerMessage(1, message(7, sequence++, 0.5f, 0)));
+            t.event(new PeerMessage(1, statusMessage(7, sequence++, 0.5f, 0)));
             t.pass(300_000);
         }
         assertTrue(fetches >= 3 && fetches <= 35, fetches + " fetches in 40 s");
