--- a/emulator/src/main/java/baymoor/emulator/world/Clients.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Clients.java
@@ -29,33 +29,33 @@
  */
 public final class Clients implements Fleet.Watcher {
 
-    private static final long FRONT_SEES_READY_MICROS = 100_000;
-    private static final double EARLIEST_LEAVE = 0.2;
-    private static final double LATEST_LEAVE = 0.7;
-    private static final double HINT_ERROR = 0.1;
+    private static final long READY_DETECTION_MICROS = 100_000;
+    private static final double MIN_ABANDON_FRACTION = 0.2;
+    private static final double MAX_ABANDON_FRACTION = 0.7;
+    private static final double WORK_HINT_ERROR = 0.1;
 
     private final Scenario scenario;
     private final Catalogue catalogue;
     private final Judge judge;
     private final Tally tally;
     private final Platform platform;
-    private final long slack;
+    private final long timeoutSlackMicros;
     private final double[] classShares;
     private final double[] tenantShares;
     private final Zone[] zones;
-    private final boolean[] seen;
-    private final int[] lives;
+    private final boolean[] knownReady;
+    private final int[] generations;
     /** Told to end and not ready again since. */
-    private final boolean[] ending;
+    private final boolean[] stopping;
     /** Clock times from which requests are counted, and after which none is asked. */
-    private long countFrom;
+    private long measurementStart;
 
-    private long endAt;
-    private double surge = 1;
-    private double scan;
-    private double hot;
+    private long arrivalsEnd;
+    private double loadFactor = 1;
+    private double oneOffShare;
+    private double hotKeyShare;
     private long hotKey;
-    private long open;
+    private long pendingRequests;
 
     public Clients(
             Scenario scenario, Platform platform, Streams streams, Catalogue catalogue, Judge judge, Tally tally) {
@@ -64,15 +64,15 @@
         this.catalogue = catalogue;
         this.judge = judge;
         this.tally = tally;
-        slack = scenario.figures().answerSlackMicros() + Math.max(10_000, platform.slackMicros());
+        timeoutSlackMicros = scenario.figures().answerSlackMicros() + Math.max(10_000, platform.slackMicros());
         classShares =
                 scenario.classes().stream().mapToDouble(RequestClass::share).toArray();
         tenantShares =
                 scenario.tenants().stream().mapToDouble(Scenario.Tenant::share).toArray();
         int count = scenario.balancers().count();
-        seen = new boolean[count];
-        lives = new int[count];
-        ending = new boolean[count];
+        knownReady = new boolean[count];
+        generations = new int[count];
+        stopping = new boolean[count];
         zones = new Zone[scenario.zones().size()];
         for (int z = 0; z < zones.length; z++) {
             zones[z] = new Zone(z, streams);
@@ -81,347 +81,362 @@
 
     /** Begins to ask. */
     public void start() {
-        countFrom = zones[0].time.now() + scenario.warmUpMicros();
-        endAt = countFrom + scenario.durationMicros();
+        measurementStart = zones[0].time.now() + scenario.warmUpMicros();
+        arrivalsEnd = measurementStart + scenario.durationMicros();
         for (Zone zone : zones) {
-            zone.due = zone.time.now();
-            zone.next();
+            zone.nextArrivalAt = zone.time.now();
+            zone.scheduleNextArrival();
         }
     }
 
     /** So many times the usual traffic from now on. */
-    public void surge(double times) {
-        surge *= times;
+    public void multiplyLoad(double factor) {
+        loadFactor *= factor;
     }
 
     /** So large a share of the reads asks for keys that are wanted only once. */
-    public void scan(double share) {
-        scan = share;
+    public void setOneOffReadShare(double share) {
+        oneOffShare = share;
     }
 
     /** So large a share of the requests asks for one key, which is among none of the popular ones. */
-    public void hot(double share, long key) {
-        hot = share;
+    public void setHotKey(double share, long key) {
+        hotKeyShare = share;
         hotKey = key;
     }
 
     /** Requests that are not over yet. */
-    public long open() {
-        return open;
+    public long pendingRequests() {
+        return pendingRequests;
     }
 
     @Override
     public void ready(int balancer) {
-        ending[balancer] = false;
-        int life = ++lives[balancer];
-        zones[0].time.after(FRONT_SEES_READY_MICROS, () -> seen[balancer] = life == lives[balancer]);
+        stopping[balancer] = false;
+        int generation = ++generations[balancer];
+        zones[0].time.after(READY_DETECTION_MICROS, () -> knownReady[balancer] = generation == generations[balancer]);
     }
 
     @Override
     public void ending(int balancer) {
-        ending[balancer] = true;
+        stopping[balancer] = true;
     }
 
     @Override
     public void ended(int balancer) {
-        int life = ++lives[balancer];
-        zones[0].time.after(Draw.within(zones[0].chance, scenario.traffic().frontNotice()), () -> {
-            if (life == lives[balancer]) {
-                seen[balancer] = false;
+        int generation = ++generations[balancer];
+        zones[0].time.after(Draw.within(zones[0].random, scenario.traffic().frontNotice()), () -> {
+            if (generation == generations[balancer]) {
+                knownReady[balancer] = false;
             }
         });
     }
 
     /** The balancers that the front of a zone deals connections out to: its own, or else all. */
-    private static List<Integer> near(int zone, int zones, int count) {
-        List<Integer> near = new ArrayList<>();
-        for (int b = 0; b < count; b++) {
-            if (b % zones == zone) {
-                near.add(b);
+    private static List<Integer> candidateBalancers(int zone, int zoneCount, int balancerCount) {
+        List<Integer> candidates = new ArrayList<>();
+        for (int b = 0; b < balancerCount; b++) {
+            if (b % zoneCount == zone) {
+                candidates.add(b);
             }
         }
-        for (int b = 0; b < count && near.isEmpty(); b++) {
-            near.add(b);
+        for (int b = 0; b < balancerCount && candidates.isEmpty(); b++) {
+            candidates.add(b);
         }
-        return near;
+        return candidates;
     }
 
     private final class Zone {
-        private final int number;
+        private final int index;
         private final Time time;
-        private final UniformRandomProvider chance;
-        private final SharedStateDiscreteSampler ranks;
+        private final UniformRandomProvider random;
+        private final SharedStateDiscreteSampler keyRanks;
         private final Dialer dialer;
-        private final List<Integer> near;
-        private final List<ArrayDeque<Connection>> idle = new ArrayList<>();
-        private long due;
-
-        Zone(int number, Streams streams) {
-            this.number = number;
-            String name = "clients-" + scenario.zones().get(number);
-            time = platform.time(name, number);
-            chance = streams.of(name);
-            ranks = RejectionInversionZipfSampler.of(
-                    chance, scenario.keys().count(), scenario.keys().exponent());
-            dialer = platform.clients(number);
-            near = near(number, scenario.zones().size(), seen.length);
-            for (int b = 0; b < seen.length; b++) {
-                idle.add(new ArrayDeque<>());
+        private final List<Integer> candidates;
+        private final List<ArrayDeque<Connection>> idleConnections = new ArrayList<>();
+        private long nextArrivalAt;
+
+        Zone(int index, Streams streams) {
+            this.index = index;
+            String name = "clients-" + scenario.zones().get(index);
+            time = platform.time(name, index);
+            random = streams.of(name);
+            keyRanks = RejectionInversionZipfSampler.of(
+                    random, scenario.keys().count(), scenario.keys().exponent());
+            dialer = platform.clients(index);
+            candidates = candidateBalancers(index, scenario.zones().size(), knownReady.length);
+            for (int b = 0; b < knownReady.length; b++) {
+                idleConnections.add(new ArrayDeque<>());
             }
         }
 
-        private double rate() {
-            Scenario.Traffic t = scenario.traffic();
-            double phase = 2 * Math.PI * (time.now() - countFrom) / t.wavePeriodMicros();
-            return t.rate() * t.zoneShares().get(number) * (1 + t.wave() * Math.sin(phase)) * surge;
+        private double arrivalRate() {
+            Scenario.Traffic traffic = scenario.traffic();
+            double phase = 2 * Math.PI * (time.now() - measurementStart) / traffic.wavePeriodMicros();
+            return traffic.rate()
+                    * traffic.zoneShares().get(index)
+                    * (1 + traffic.wave() * Math.sin(phase))
+                    * loadFactor;
         }
 
-        void next() {
-            double rate = rate();
+        void scheduleNextArrival() {
+            double rate = arrivalRate();
             if (rate <= 0) {
                 return;
             }
             // From arrival to arrival as drawn, not from when the timer ran: a held-up thread must not thin the load.
-            due += Math.max(1, (long) Math.ceil(Draw.exponential(chance) / rate * 1e6));
-            time.after(due - time.now(), () -> {
-                if (due < endAt) {
-                    new Request(this).ask();
-                    next();
+            nextArrivalAt += Math.max(1, (long) Math.ceil(Draw.exponential(random) / rate * 1e6));
+            time.after(nextArrivalAt - time.now(), () -> {
+                if (nextArrivalAt < arrivalsEnd) {
+                    new Request(this).startAttempt();
+                    scheduleNextArrival();
                 }
             });
         }
 
         /** A balancer that the front holds for running, at random, or any where it holds none for that. */
-        int balancer() {
-            int start = chance.nextInt(near.size());
-            for (int i = 0; i < near.size(); i++) {
-                int b = near.get((start + i) % near.size());
-                if (seen[b]) {
+        int chooseBalancer() {
+            int start = random.nextInt(candidates.size());
+            for (int i = 0; i < candidates.size(); i++) {
+                int b = candidates.get((start + i) % candidates.size());
+                if (knownReady[b]) {
                     return b;
                 }
             }
-            return near.get(start);
+            return candidates.get(start);
         }
     }
 
     /** One request of a client, through all its tries. */
     private final class Request {
         private final Zone zone;
-        private final RequestClass kind;
+        private final RequestClass requestClass;
         private final String tenant;
         private final long key;
         private final Catalogue.KeyProfile profile;
-        private final String idempotency;
-        private final long hint;
-        private final long firstAsked;
+        private final String idempotencyKey;
+        private final long workHintMicros;
+        private final long arrivedAt;
         private boolean retried;
 
         Request(Zone zone) {
             this.zone = zone;
-            kind = scenario.classes().get(pick(zone.chance, classShares));
-            tenant = scenario.tenants().get(pick(zone.chance, tenantShares)).name();
-            boolean once = !kind.write() && Draw.chance(zone.chance, scan);
-            long usual =
-                    once ? zone.chance.nextLong() : catalogue.key(zone.ranks.sample() - 1, zone.time.now() - countFrom);
-            key = hot > 0 && Draw.chance(zone.chance, hot) ? hotKey : usual;
+            requestClass = scenario.classes().get(weightedIndex(zone.random, classShares));
+            tenant = scenario.tenants()
+                    .get(weightedIndex(zone.random, tenantShares))
+                    .name();
+            boolean oneOff = !requestClass.write() && Draw.chance(zone.random, oneOffShare);
+            long baseKey = oneOff
+                    ? zone.random.nextLong()
+                    : catalogue.key(zone.keyRanks.sample() - 1, zone.time.now() - measurementStart);
+            key = hotKeyShare > 0 && Draw.chance(zone.random, hotKeyShare) ? hotKey : baseKey;
             profile = catalogue.profile(key);
-            idempotency = kind.effect() == Effect.KEYED ? Catalogue.name(zone.chance.nextLong()) : null;
-            hint = (long) (catalogue.work(kind, profile) * (1 + HINT_ERROR * (2 * zone.chance.nextDouble() - 1)));
-            firstAsked = zone.time.now();
-            open++;
+            idempotencyKey = requestClass.effect() == Effect.KEYED ? Catalogue.name(zone.random.nextLong()) : null;
+            workHintMicros = (long) (catalogue.work(requestClass, profile)
+                    * (1 + WORK_HINT_ERROR * (2 * zone.random.nextDouble() - 1)));
+            arrivedAt = zone.time.now();
+            pendingRequests++;
         }
 
-        private static int pick(UniformRandomProvider chance, double[] shares) {
-            double at = chance.nextDouble();
+        private static int weightedIndex(UniformRandomProvider random, double[] shares) {
+            double remaining = random.nextDouble();
             int i = 0;
-            while (i < shares.length - 1 && at >= shares[i]) {
-                at -= shares[i++];
+            while (i < shares.length - 1 && remaining >= shares[i]) {
+                remaining -= shares[i++];
             }
             return i;
         }
 
-        void ask() {
+        void startAttempt() {
             tally.tried();
-            new Try(this).start();
+            new ClientAttempt(this).start();
         }
 
         private double worth() {
-            return kind.worth() * catalogue.work(kind, profile) / 1e6;
+            return requestClass.worth() * catalogue.work(requestClass, profile) / 1e6;
         }
 
-        void end(Tally.End end) {
-            open--;
-            tally.ended(firstAsked - countFrom, end, zone.time.now() - firstAsked, worth());
+        void finish(Tally.End outcome) {
+            pendingRequests--;
+            tally.ended(arrivedAt - measurementStart, outcome, zone.time.now() - arrivedAt, worth());
         }
 
         /** This try came to nothing: once, where its class allows it, the client may try again. */
-        void failed(Tally.End end, long stayAwayMicros) {
-            boolean allowed = kind.effect() != Effect.UNSAFE || end == Tally.End.REFUSED || end == Tally.End.UNREACHED;
-            Scenario.Traffic t = scenario.traffic();
-            if (!retried && allowed && Draw.chance(zone.chance, t.retry())) {
+        void attemptFailed(Tally.End outcome, long retryAfterMicros) {
+            boolean allowed = requestClass.effect() != Effect.UNSAFE
+                    || outcome == Tally.End.REFUSED
+                    || outcome == Tally.End.UNREACHED;
+            Scenario.Traffic traffic = scenario.traffic();
+            if (!retried && allowed && Draw.chance(zone.random, traffic.retry())) {
                 retried = true;
-                long wait = Draw.within(zone.chance, t.backoff());
-                wait = Draw.chance(zone.chance, t.honour()) ? Math.max(wait, stayAwayMicros) : wait;
-                zone.time.after(wait, this::ask);
+                long delay = Draw.within(zone.random, traffic.backoff());
+                delay = Draw.chance(zone.random, traffic.honour()) ? Math.max(delay, retryAfterMicros) : delay;
+                zone.time.after(delay, this::startAttempt);
             } else {
-                end(end);
+                finish(outcome);
             }
         }
     }
 
     /** One try of a request, under an id of its own. */
-    private final class Try {
+    private final class ClientAttempt {
         private final Request request;
         private final Zone zone;
         private final String id;
-        private final long gone;
-        private final long askedAt;
-        private final Time.Timer timeout;
-        private final Time.Timer leaves;
-        private Connection on;
-        private boolean over;
-        private boolean written;
-        private long wroteMicros;
-        private boolean taken;
+        private final long deadline;
+        private final long startedAt;
+        private final Time.Timer timeoutTimer;
+        private final Time.Timer abandonTimer;
+        private Connection connection;
+        private boolean finished;
+        private boolean sent;
+        private long sentAt;
+        private boolean delivered;
         private boolean resent;
 
-        Try(Request request) {
+        ClientAttempt(Request request) {
             this.request = request;
             zone = request.zone;
-            id = Catalogue.name(zone.chance.nextLong());
-            askedAt = zone.time.now();
-            Scenario.Traffic t = scenario.traffic();
-            double share = t.leastTry() + zone.chance.nextDouble() * (t.mostTry() - t.leastTry());
-            gone = askedAt + (long) (request.kind.giveUpMicros() * share);
-            timeout = zone.time.after(gone + slack - askedAt, this::givenUp);
-            boolean impatient = Draw.chance(zone.chance, t.impatient());
-            double leave = EARLIEST_LEAVE + zone.chance.nextDouble() * (LATEST_LEAVE - EARLIEST_LEAVE);
-            leaves = impatient ? zone.time.after((long) ((gone - askedAt) * leave), this::leave) : null;
+            id = Catalogue.name(zone.random.nextLong());
+            startedAt = zone.time.now();
+            Scenario.Traffic traffic = scenario.traffic();
+            double share = traffic.leastTry() + zone.random.nextDouble() * (traffic.mostTry() - traffic.leastTry());
+            deadline = startedAt + (long) (request.requestClass.giveUpMicros() * share);
+            timeoutTimer = zone.time.after(deadline + timeoutSlackMicros - startedAt, this::timeOut);
+            boolean impatient = Draw.chance(zone.random, traffic.impatient());
+            double abandonFraction =
+                    MIN_ABANDON_FRACTION + zone.random.nextDouble() * (MAX_ABANDON_FRACTION - MIN_ABANDON_FRACTION);
+            abandonTimer = impatient
+                    ? zone.time.after((long) ((deadline - startedAt) * abandonFraction), this::abandon)
+                    : null;
         }
 
         void start() {
-            int balancer = zone.balancer();
-            ArrayDeque<Connection> idle = zone.idle.get(balancer);
-            Connection kept = resent ? null : idle.pollLast();
-            on = kept != null ? kept : new Connection(zone, balancer);
-            on.carry(this);
+            int balancer = zone.chooseBalancer();
+            ArrayDeque<Connection> idleConnections = zone.idleConnections.get(balancer);
+            Connection idle = resent ? null : idleConnections.pollLast();
+            connection = idle != null ? idle : new Connection(zone, balancer);
+            connection.send(this);
         }
 
-        byte[] command() {
-            RequestClass kind = request.kind;
-            long waits = Math.max(1, (gone - zone.time.now()) / 1000);
-            StringBuilder facts = new StringBuilder("c=")
-                    .append(kind.name())
+        byte[] encodeCommand() {
+            RequestClass requestClass = request.requestClass;
+            long patienceMillis = Math.max(1, (deadline - zone.time.now()) / 1000);
+            StringBuilder attributes = new StringBuilder("c=")
+                    .append(requestClass.name())
                     .append(",t=")
                     .append(request.tenant)
                     .append(",d=")
-                    .append(waits);
-            if (request.idempotency != null) {
-                facts.append(",k=").append(request.idempotency);
+                    .append(patienceMillis);
+            if (request.idempotencyKey != null) {
+                attributes.append(",k=").append(request.idempotencyKey);
             }
             if (request.retried && scenario.moduleSettings().retries()) {
-                facts.append(",r=1");
+                attributes.append(",r=1");
             }
             if (scenario.moduleSettings().work()) {
-                facts.append(",h=").append(request.hint);
+                attributes.append(",h=").append(request.workHintMicros);
             }
             if (scenario.moduleSettings().sizes()) {
-                facts.append(",size=").append(request.profile.size());
+                attributes.append(",size=").append(request.profile.size());
             }
             byte[] key = RespWriter.ascii(Catalogue.name(request.key));
-            byte[] list = RespWriter.ascii(facts.toString());
-            return kind.write()
+            byte[] attributeList = RespWriter.ascii(attributes.toString());
+            return requestClass.write()
                     ? RespWriter.command(
                             RespWriter.ascii("OBJ.SET"),
                             key,
                             RespWriter.ascii(id),
-                            list,
+                            attributeList,
                             Values.value(Catalogue.name(request.key), id, request.profile.size()))
-                    : RespWriter.command(RespWriter.ascii("OBJ.GET"), key, RespWriter.ascii(id), list);
+                    : RespWriter.command(RespWriter.ascii("OBJ.GET"), key, RespWriter.ascii(id), attributeList);
         }
 
         void write(Link link, int balancer) {
             if (!resent) {
-                judge.asked(id, request.kind, gone);
+                judge.asked(id, request.requestClass, deadline);
             }
-            written = true;
-            wroteMicros = zone.time.now();
+            sent = true;
+            sentAt = zone.time.now();
             if (link instanceof Tracked tracked) {
-                tracked.write(command(), () -> {
-                    taken = true;
+                tracked.write(encodeCommand(), () -> {
+                    delivered = true;
                     judge.taken(id, balancer);
                 });
             } else {
-                link.write(command());
+                link.write(encodeCommand());
             }
         }
 
-        private void settle() {
-            over = true;
-            timeout.cancel();
-            if (leaves != null) {
-                leaves.cancel();
+        private void finish() {
+            finished = true;
+            timeoutTimer.cancel();
+            if (abandonTimer != null) {
+                abandonTimer.cancel();
             }
         }
 
         void answered(Resp answer) {
-            settle();
+            finish();
             if (answer instanceof Resp.Bulk bulk && bulk.bytes() != null) {
                 judge.answered(id, AnswerKind.SERVED, bulk.bytes());
-                boolean inTime = zone.time.now() - request.firstAsked <= request.kind.aimMicros();
-                request.end(inTime ? Tally.End.IN_TIME : Tally.End.LATE);
+                boolean onTime = zone.time.now() - request.arrivedAt <= request.requestClass.aimMicros();
+                request.finish(onTime ? Tally.End.IN_TIME : Tally.End.LATE);
             } else if (answer instanceof Resp.Failure f && f.text().startsWith("BUSY")) {
                 judge.answered(id, AnswerKind.REFUSED, null);
-                String wait = f.text().substring("BUSY".length()).strip();
-                request.failed(Tally.End.REFUSED, wait.matches("[0-9]{1,9}") ? Long.parseLong(wait) * 1000 : 0);
+                String retryAfterMillis = f.text().substring("BUSY".length()).strip();
+                request.attemptFailed(
+                        Tally.End.REFUSED,
+                        retryAfterMillis.matches("[0-9]{1,9}") ? Long.parseLong(retryAfterMillis) * 1000 : 0);
             } else {
                 judge.answered(id, AnswerKind.FAILED, null);
-                request.failed(Tally.End.FAILED, 0);
+                request.attemptFailed(Tally.End.FAILED, 0);
             }
         }
 
-        private void givenUp() {
-            if (!over) {
-                settle();
+        private void timeOut() {
+            if (!finished) {
+                finish();
                 judge.unanswered(id);
-                on.abandon();
-                request.failed(written ? Tally.End.LOST : Tally.End.UNREACHED, 0);
+                connection.discard();
+                request.attemptFailed(sent ? Tally.End.LOST : Tally.End.UNREACHED, 0);
             }
         }
 
-        private void leave() {
-            if (!over) {
-                settle();
+        private void abandon() {
+            if (!finished) {
+                finish();
                 judge.left(id);
-                on.abandon();
-                request.end(Tally.End.LEFT);
+                connection.discard();
+                request.finish(Tally.End.LEFT);
             }
         }
 
         /** The connection ended under it. */
-        void dropped(Link link, boolean kept) {
-            Tracked.Ending how = link instanceof Tracked t ? t.ending() : null;
-            boolean balancers =
-                    how == null || how == Tracked.Ending.BY_OTHER_SIDE || how == Tracked.Ending.OTHER_SIDE_DIED;
+        void connectionLost(Link link, boolean reused) {
+            Tracked.Ending ending = link instanceof Tracked t ? t.ending() : null;
+            boolean closedByBalancer = ending == null
+                    || ending == Tracked.Ending.BY_OTHER_SIDE
+                    || ending == Tracked.Ending.OTHER_SIDE_DIED;
             // Where the network doesn't tell, what ends so soon after the request has crossed it. Seen: at a planned
             // restart
             // the balancer closes what rests, has never seen the request, and was blamed for it.
-            boolean crossed = how == null
-                    ? zone.time.now() - wroteMicros <= platform.slackMicros()
-                    : !taken && how == Tracked.Ending.BY_OTHER_SIDE;
+            boolean crossedClose = ending == null
+                    ? zone.time.now() - sentAt <= platform.slackMicros()
+                    : !delivered && ending == Tracked.Ending.BY_OTHER_SIDE;
             // Nor does the network tell whether it ran. Seen: a killed balancer had sent an unsafe one on, and it ran
             // twice.
-            boolean harmless = how != null || request.kind.effect() != Effect.UNSAFE;
-            if (kept && !resent && crossed && harmless && zone.time.now() < gone) {
+            boolean safeToResend = ending != null || request.requestClass.effect() != Effect.UNSAFE;
+            if (reused && !resent && crossedClose && safeToResend && zone.time.now() < deadline) {
                 resent = true; // it crossed the end of an idle connection: once more on a new one
                 start();
                 return;
             }
-            settle();
+            finish();
             // A connection may also lie unaccepted in the queue of a listener that closes: the process never had it.
-            boolean unaccepted = how == null && crossed && (kept || ending[on.balancer]);
-            judge.lost(id, written && balancers && !unaccepted);
-            request.failed(written ? Tally.End.LOST : Tally.End.UNREACHED, 0);
+            boolean maybeUnaccepted = ending == null && crossedClose && (reused || stopping[connection.balancer]);
+            judge.lost(id, sent && closedByBalancer && !maybeUnaccepted);
+            request.attemptFailed(sent ? Tally.End.LOST : Tally.End.UNREACHED, 0);
         }
     }
 
@@ -431,91 +446,92 @@
         private final int balancer;
         private final RespReader reader = RespReader.ofAnswers();
         private Link link;
-        private Try carried;
-        private boolean used;
-        private String last;
-        private boolean over;
+        private ClientAttempt currentAttempt;
+        private boolean answered;
+        private String lastAttemptId;
+        private boolean closed;
 
         Connection(Zone zone, int balancer) {
             this.zone = zone;
             this.balancer = balancer;
         }
 
-        void carry(Try next) {
-            carried = next;
+        void send(ClientAttempt attempt) {
+            currentAttempt = attempt;
             if (link == null) {
                 link = zone.dialer.dial(platform.balancer(balancer), this);
             } else {
-                next.write(link, balancer);
+                attempt.write(link, balancer);
             }
         }
 
         @Override
         public void opened() {
-            if (carried != null && !over) {
-                carried.write(link, balancer);
+            if (currentAttempt != null && !closed) {
+                currentAttempt.write(link, balancer);
             }
         }
 
         @Override
         public void received(byte[] bytes) {
-            if (over) {
+            if (closed) {
                 return; // given up already: on sockets an answer may still come in, and is nobody's
             }
             reader.feed(bytes);
             try {
                 for (Resp answer = reader.next(); answer != null; answer = reader.next()) {
-                    if (carried == null) {
-                        surplus(answer);
+                    if (currentAttempt == null) {
+                        unsolicitedAnswer(answer);
                         return;
                     }
-                    Try done = carried;
-                    carried = null;
-                    used = true;
-                    last = done.id;
-                    zone.idle.get(balancer).addLast(this);
-                    done.answered(answer);
+                    ClientAttempt completed = currentAttempt;
+                    currentAttempt = null;
+                    answered = true;
+                    lastAttemptId = completed.id;
+                    zone.idleConnections.get(balancer).addLast(this);
+                    completed.answered(answer);
                 }
             } catch (RespException e) {
-                over = true;
+                closed = true;
                 link.close();
-                if (carried != null) {
-                    carried.dropped(link, false);
+                if (currentAttempt != null) {
+                    currentAttempt.connectionLost(link, false);
                 }
             }
         }
 
         /** An answer that nobody asked for: one too many for the last try, and the end of this connection. */
-        private void surplus(Resp answer) {
-            if (last != null) {
-                judge.answered(last, answer instanceof Resp.Bulk ? AnswerKind.SERVED : AnswerKind.FAILED, null);
+        private void unsolicitedAnswer(Resp answer) {
+            if (lastAttemptId != null) {
+                judge.answered(
+                        lastAttemptId, answer instanceof Resp.Bulk ? AnswerKind.SERVED : AnswerKind.FAILED, null);
             }
-            zone.idle.get(balancer).remove(this);
-            over = true;
+            zone.idleConnections.get(balancer).remove(this);
+            closed = true;
             link.close();
         }
 
-        void abandon() {
-            over = true;
-            carried = null;
+        void discard() {
+            closed = true;
+            currentAttempt = null;
             link.close();
         }
 
         @Override
         public void written() {
-            if (carried != null && carried.written && !(link instanceof Tracked)) {
-                judge.taken(carried.id, balancer);
+            if (currentAttempt != null && currentAttempt.sent && !(link instanceof Tracked)) {
+                judge.taken(currentAttempt.id, balancer);
             }
         }
 
         @Override
         public void closed() {
-            over = true;
-            zone.idle.get(balancer).remove(this);
-            if (carried != null) {
-                Try left = carried;
-                carried = null;
-                left.dropped(link, used);
+            closed = true;
+            zone.idleConnections.get(balancer).remove(this);
+            if (currentAttempt != null) {
+                ClientAttempt lost = currentAttempt;
+                currentAttempt = null;
+                lost.connectionLost(link, answered);
             }
         }
     }
--- a/emulator/src/main/java/baymoor/emulator/world/World.java
+++ b/emulator/src/main/java/baymoor/emulator/world/World.java
@@ -210,7 +210,7 @@
                 .mapToLong(Scenario.RequestClass::giveUpMicros)
                 .max()
                 .orElse(0);
-        return !asking() && (clients.open() == 0 || time.now() >= asksUntil() + END_WAIT_FACTOR * longest);
+        return !asking() && (clients.pendingRequests() == 0 || time.now() >= asksUntil() + END_WAIT_FACTOR * longest);
     }
 
     private void change() {
@@ -239,12 +239,12 @@
         said.accept(event.what().name().toLowerCase(java.util.Locale.ROOT), event.zone());
         switch (event.what()) {
             case SURGE -> {
-                clients.surge(event.factor());
-                time.after(event.forMicros(), () -> clients.surge(1 / event.factor()));
+                clients.multiplyLoad(event.factor());
+                time.after(event.forMicros(), () -> clients.multiplyLoad(1 / event.factor()));
             }
             case SCAN -> {
-                clients.scan(event.share());
-                time.after(event.forMicros(), () -> clients.scan(0));
+                clients.setOneOffReadShare(event.share());
+                time.after(event.forMicros(), () -> clients.setOneOffReadShare(0));
             }
             case CUT -> {
                 int zone = scenario.zones().indexOf(event.zone());
@@ -263,8 +263,8 @@
             case STOP_ORIGIN -> stopOrigin(event.forMicros());
             case FLUSH -> routers.flush(event.share());
             case HOT_KEY -> {
-                clients.hot(event.share(), chance.nextLong());
-                time.after(event.forMicros(), () -> clients.hot(0, 0));
+                clients.setHotKey(event.share(), chance.nextLong());
+                time.after(event.forMicros(), () -> clients.setHotKey(0, 0));
             }
             case LOSE_DATAGRAMS -> {
                 platform.loseDatagrams(event.share());
--- a/emulator/src/test/java/baymoor/emulator/world/ClientsOnSocketsTest.java
+++ b/emulator/src/test/java/baymoor/emulator/world/ClientsOnSocketsTest.java
@@ -25,15 +25,15 @@
 /** Clients where the network doesn't tell how a connection ended, and one balancer that the test speaks for. */
 public class ClientsOnSocketsTest {
 
-    private static final long SLACK = 50_000;
+    private static final long SLACK_MICROS = 50_000;
 
     private final ManualTime time = new ManualTime();
-    private final List<Broken> broken = new ArrayList<>();
-    private final List<Line> lines = new ArrayList<>();
+    private final List<Broken> violations = new ArrayList<>();
+    private final List<ClientLink> links = new ArrayList<>();
     private Clients clients;
 
     /** A connection of a client's; it tells the client of nothing by itself. */
-    private static final class Line extends RecordingLink {
+    private static final class ClientLink extends RecordingLink {
         private LinkEvents client;
 
         @Override
@@ -43,21 +43,21 @@
         }
 
         /** How many requests have come by it. */
-        int requests() {
+        int requestCount() {
             return out.toString().split("OBJ\\.[GS]ET", -1).length - 1;
         }
 
-        void drop() {
+        void closeFromBalancer() {
             closed = true;
             client.closed();
         }
 
-        void busy() {
+        void answerBusy() {
             client.received("-BUSY\r\n".getBytes(StandardCharsets.ISO_8859_1));
         }
     }
 
-    private final class Loopback implements Platform {
+    private final class SocketLikePlatform implements Platform {
         @Override
         public Time time(String host, int zone) {
             return time;
@@ -75,10 +75,10 @@
         @Override
         public Dialer clients(int zone) {
             return (to, events) -> {
-                Line line = new Line();
-                line.client = events;
-                lines.add(line);
-                return line;
+                ClientLink link = new ClientLink();
+                link.client = events;
+                links.add(link);
+                return link;
             };
         }
 
@@ -114,7 +114,7 @@
 
         @Override
         public long slackMicros() {
-            return SLACK;
+            return SLACK_MICROS;
         }
 
         @Override
@@ -144,24 +144,25 @@
                 give_up = "1500ms"
                 effect = "%s"
                 """.formatted(effect), "clients");
-        Judge judge = new Judge(time::now, scenario.figures(), SLACK, broken::add);
-        clients = new Clients(scenario, new Loopback(), new Streams(1), new Catalogue(scenario, 1), judge, new Tally());
+        Judge judge = new Judge(time::now, scenario.figures(), SLACK_MICROS, violations::add);
+        clients = new Clients(
+                scenario, new SocketLikePlatform(), new Streams(1), new Catalogue(scenario, 1), judge, new Tally());
         clients.ready(0);
         clients.start();
     }
 
     /** Waits for a line's next request. */
-    private Line asked(int before) {
+    private ClientLink awaitRequest(int requestsBefore) {
         if (clients == null) {
             start("safe");
         }
         for (int i = 0; i < 10_000; i++) {
-            for (Line line : lines) {
-                if (!line.closed && line.out.length() == 0) {
-                    line.client.opened();
+            for (ClientLink link : links) {
+                if (!link.closed && link.out.length() == 0) {
+                    link.client.opened();
                 }
-                if (!line.closed && line.requests() > before) {
-                    return line;
+                if (!link.closed && link.requestCount() > requestsBefore) {
+                    return link;
                 }
             }
             time.pass(1_000);
@@ -170,72 +171,72 @@
     }
 
     /** A connection that was used, and carries its second request. */
-    private Line second() {
-        asked(0).busy();
-        return asked(1);
+    private ClientLink awaitReusedConnection() {
+        awaitRequest(0).answerBusy();
+        return awaitRequest(1);
     }
 
     @Test
-    public void aRequestThatCrossesTheEndOfAnIdleConnectionIsSentOnceMore() {
-        Line kept = second();
-        int before = lines.size();
+    public void resendsSafeRequestWhenIdleConnectionClosesConcurrently() {
+        ClientLink reused = awaitReusedConnection();
+        int linksBefore = links.size();
         time.pass(2_000);
-        kept.client.closed();
-        assertEquals("on a new connection", before + 1, lines.size());
-        assertEquals(List.of(), broken);
+        reused.client.closed();
+        assertEquals("on a new connection", linksBefore + 1, links.size());
+        assertEquals(List.of(), violations);
     }
 
     /** Seen: a balancer was killed 50 ms after it had sent an unsafe request on; the client sent it again, and it ran twice. */
     @Test
-    public void anUnsafeRequestThatCrossesAnEndIsNotSentAgain() {
+    public void doesNotResendUnsafeRequestWhenIdleConnectionClosesConcurrently() {
         start("unsafe");
-        Line kept = second();
-        String id = kept.out.substring(kept.out.lastIndexOf("OBJ.")).split("\r\n")[4];
+        ClientLink reused = awaitReusedConnection();
+        String id = reused.out.substring(reused.out.lastIndexOf("OBJ.")).split("\r\n")[4];
         time.pass(2_000);
-        kept.drop();
-        lines.stream().filter(l -> l != kept && !l.closed).forEach(l -> l.client.opened());
-        assertTrue(lines.stream().filter(l -> l != kept).noneMatch(l -> l.out.indexOf(id) >= 0));
-        assertEquals("nobody knows whether it was taken", List.of(), broken);
+        reused.closeFromBalancer();
+        links.stream().filter(l -> l != reused && !l.closed).forEach(l -> l.client.opened());
+        assertTrue(links.stream().filter(l -> l != reused).noneMatch(l -> l.out.indexOf(id) >= 0));
+        assertEquals("nobody knows whether it was taken", List.of(), violations);
     }
 
     @Test
-    public void aBalancerThatClosesOnARequestLaterHasLostIt() {
-        Line kept = second();
-        time.pass(SLACK + 1_000);
-        kept.client.closed();
-        assertEquals(Rule.ONE_ANSWER, broken.get(0).rule());
+    public void reportsLostRequestWhenBalancerClosesReusedConnectionAfterSlack() {
+        ClientLink reused = awaitReusedConnection();
+        time.pass(SLACK_MICROS + 1_000);
+        reused.client.closed();
+        assertEquals(Rule.ONE_ANSWER, violations.get(0).rule());
     }
 
     @Test
-    public void aBalancerThatClosesANewConnectionOnItsRequestHasLostIt() {
-        Line fresh = asked(0);
-        fresh.client.closed();
-        assertEquals(Rule.ONE_ANSWER, broken.get(0).rule());
+    public void reportsLostRequestWhenBalancerClosesNewConnection() {
+        ClientLink newLink = awaitRequest(0);
+        newLink.client.closed();
+        assertEquals(Rule.ONE_ANSWER, violations.get(0).rule());
     }
 
     /** Seen in a demo: at a planned restart a listener closed with a connection in its queue, 11 ms after the request. */
     @Test
-    public void aConnectionThatAnEndingBalancerNeverAcceptedIsNotHeldAgainstIt() {
+    public void toleratesUnacceptedConnectionOnlyWhileBalancerStops() {
         start("safe");
         clients.ending(0);
-        asked(0).drop();
-        assertEquals(List.of(), broken);
-        Line held = asked(0);
-        time.pass(SLACK + 1_000);
-        held.drop();
-        assertEquals("taken for sure by now", 1, broken.size());
+        awaitRequest(0).closeFromBalancer();
+        assertEquals(List.of(), violations);
+        ClientLink accepted = awaitRequest(0);
+        time.pass(SLACK_MICROS + 1_000);
+        accepted.closeFromBalancer();
+        assertEquals("taken for sure by now", 1, violations.size());
         clients.ready(0);
-        asked(0).drop();
-        assertEquals("runs again", 2, broken.size());
+        awaitRequest(0).closeFromBalancer();
+        assertEquals("runs again", 2, violations.size());
     }
 
     @Test
-    public void anAnswerThatComesAfterTheClientGaveUpIsNobodysSecondOne() {
-        Line kept = second();
+    public void ignoresAnswerAfterClientTimeout() {
+        ClientLink reused = awaitReusedConnection();
         time.pass(1_700_000);
-        assertTrue("given up", kept.closed);
-        int before = broken.size();
-        kept.busy();
-        assertEquals(before, broken.size());
+        assertTrue("given up", reused.closed);
+        int violationsBefore = violations.size();
+        reused.answerBusy();
+        assertEquals(violationsBefore, violations.size());
     }
 }
