--- a/emulator/src/main/java/baymoor/emulator/scenario/ScenarioReader.java
+++ b/emulator/src/main/java/baymoor/emulator/scenario/ScenarioReader.java
@@ -35,16 +35,16 @@
  */
 public final class ScenarioReader {
 
-    private static final long MS = 1_000;
-    private static final long SECOND = 1_000_000;
-    private static final int MOST_BALANCERS = 1_000;
-    private static final int MOST_ROUTERS = 5_000;
-    private static final double MANY = 1e9;
-    private static final Pattern BARE_UNIT =
+    private static final long MICROS_PER_MS = 1_000;
+    private static final long MICROS_PER_SECOND = 1_000_000;
+    private static final int MAX_BALANCERS = 1_000;
+    private static final int MAX_ROUTERS = 5_000;
+    private static final double UNBOUNDED = 1e9;
+    private static final Pattern UNQUOTED_QUANTITY =
             Pattern.compile("^\\s*([A-Za-z_]+)\\s*=\\s*([0-9.]+\\s*(?:us|ms|s|m|h|B|KiB|MiB|GiB|/s|%))\\s*(?:#.*)?$");
 
     /** Acts without a time of their own to last: they happen at once, or bring their own times. */
-    private static final Set<EventKind> AT_ONCE =
+    private static final Set<EventKind> INSTANTANEOUS =
             EnumSet.of(EventKind.RESTART_BALANCERS, EventKind.REPLACE_ROUTER, EventKind.FLUSH);
 
     private final List<Mistake> mistakes = new ArrayList<>();
@@ -67,11 +67,11 @@
         for (TomlParseError error : parsed.errors()) {
             int line = error.position().line();
             reader.mistakes.add(
-                    new Mistake(line, error.position().column(), explained(text, line, error.getMessage())));
+                    new Mistake(line, error.position().column(), explainSyntaxError(text, line, error.getMessage())));
         }
         Scenario scenario = null;
         if (reader.mistakes.isEmpty()) {
-            scenario = reader.scenario(new Table(parsed, "", null, reader.mistakes), name(file));
+            scenario = reader.readScenario(new Table(parsed, "", null, reader.mistakes), baseName(file));
         }
         if (!reader.mistakes.isEmpty()) {
             throw new BadScenario(file, reader.mistakes);
@@ -89,27 +89,27 @@
     }
 
     /** What the parser says of a quantity without quotes is true but tells nobody what to write. */
-    private static String explained(String text, int line, String message) {
-        String at = text.lines().skip(Math.max(0, line - 1)).findFirst().orElse("");
-        Matcher bare = BARE_UNIT.matcher(at);
-        return bare.matches()
-                ? bare.group(1) + " = " + bare.group(2).trim() + ": a quantity stands in quotes; write " + bare.group(1)
-                        + " = \"" + bare.group(2).trim() + "\""
+    private static String explainSyntaxError(String text, int line, String message) {
+        String sourceLine = text.lines().skip(Math.max(0, line - 1)).findFirst().orElse("");
+        Matcher match = UNQUOTED_QUANTITY.matcher(sourceLine);
+        return match.matches()
+                ? match.group(1) + " = " + match.group(2).trim() + ": a quantity stands in quotes; write "
+                        + match.group(1) + " = \"" + match.group(2).trim() + "\""
                 : "not TOML: " + message;
     }
 
-    private static String name(String file) {
-        String last = Path.of(file).getFileName().toString();
-        return last.endsWith(".toml") ? last.substring(0, last.length() - ".toml".length()) : last;
+    private static String baseName(String file) {
+        String fileName = Path.of(file).getFileName().toString();
+        return fileName.endsWith(".toml") ? fileName.substring(0, fileName.length() - ".toml".length()) : fileName;
     }
 
-    private Scenario scenario(Table top, String file) {
+    private Scenario readScenario(Table top, String file) {
         String name = top.text("name", file);
         String about = top.text("about", "");
         long seed = top.whole("seed", 0, 1);
-        long warmUp = top.time("warm_up", 10 * SECOND);
-        long duration = top.time("duration", 60 * SECOND);
-        if (duration < SECOND) {
+        long warmUp = top.time("warm_up", 10 * MICROS_PER_SECOND);
+        long duration = top.time("duration", 60 * MICROS_PER_SECOND);
+        if (duration < MICROS_PER_SECOND) {
             top.mistake("duration", "is under a second");
         }
         List<String> zones = top.texts("zones", List.of("vancouver", "kamloops", "kelowna", "prince-george"));
@@ -124,64 +124,64 @@
                 warmUp,
                 duration,
                 zones,
-                net(top.table("net")),
-                balancers(top.table("balancers")),
-                routers(top),
-                origin(top.table("origin")),
-                discovery(top.table("discovery")),
-                traffic(top.table("traffic"), zones.size()),
-                classes(top),
-                tenants(top),
-                keys(top.table("keys")),
-                figures(top.table("rules")),
-                moduleSettings(top.table("told")),
-                script(top, zones, warmUp + duration));
+                readNetwork(top.table("net")),
+                readBalancers(top.table("balancers")),
+                readRouters(top),
+                readOrigin(top.table("origin")),
+                readDiscovery(top.table("discovery")),
+                readTraffic(top.table("traffic"), zones.size()),
+                readClasses(top),
+                readTenants(top),
+                readKeys(top.table("keys")),
+                readFigures(top.table("rules")),
+                readModuleSettings(top.table("told")),
+                readScript(top, zones, warmUp + duration));
         top.end();
         return scenario;
     }
 
-    private Net net(Table t) {
+    private Net readNetwork(Table table) {
         Net net = new Net(
-                t.time("same_zone", 250),
-                t.times("cross_zone", new Span(5_600, 10_000)),
-                t.time("client", 700),
-                t.number("jitter", 0, 10, 0.2),
-                t.times("datagram", new Span(MS, 20 * MS)),
-                t.share("datagram_loss", 0.01),
-                t.share("datagram_double", 0.005));
-        t.end();
+                table.time("same_zone", 250),
+                table.times("cross_zone", new Span(5_600, 10_000)),
+                table.time("client", 700),
+                table.number("jitter", 0, 10, 0.2),
+                table.times("datagram", new Span(MICROS_PER_MS, 20 * MICROS_PER_MS)),
+                table.share("datagram_loss", 0.01),
+                table.share("datagram_double", 0.005));
+        table.end();
         return net;
     }
 
-    private Balancers balancers(Table t) {
-        int count = (int) t.whole("count", 1, 4);
-        if (count > MOST_BALANCERS) {
-            t.mistake("count", "is over " + MOST_BALANCERS);
+    private Balancers readBalancers(Table table) {
+        int count = (int) table.whole("count", 1, 4);
+        if (count > MAX_BALANCERS) {
+            table.mistake("count", "is over " + MAX_BALANCERS);
         }
         Balancers balancers = new Balancers(
                 count,
-                t.time("start", SECOND),
-                t.time("event", 30),
-                (int) t.whole("sockets", 128, 1024),
-                t.flag("peers", true),
-                t.flag("probes", true));
-        t.end();
+                table.time("start", MICROS_PER_SECOND),
+                table.time("event", 30),
+                (int) table.whole("sockets", 128, 1024),
+                table.flag("peers", true),
+                table.flag("probes", true));
+        table.end();
         return balancers;
     }
 
-    private List<RouterKind> routers(Table top) {
+    private List<RouterKind> readRouters(Table top) {
         List<RouterKind> kinds = new ArrayList<>();
         List<Table> tables = top.tables("routers");
-        for (Table t : tables) {
-            kinds.add(kind(t));
-            t.end();
+        for (Table table : tables) {
+            kinds.add(readRouterKind(table));
+            table.end();
         }
         if (tables.isEmpty()) {
-            kinds.add(usual("two-core", 7, 2, 1.5));
-            kinds.add(usual("three-core", 5, 3, 0.95));
+            kinds.add(defaultRouterKind("two-core", 7, 2, 1.5));
+            kinds.add(defaultRouterKind("three-core", 5, 3, 0.95));
         }
-        if (kinds.stream().mapToInt(RouterKind::count).sum() > MOST_ROUTERS) {
-            top.mistake("routers", "are over " + MOST_ROUTERS);
+        if (kinds.stream().mapToInt(RouterKind::count).sum() > MAX_ROUTERS) {
+            top.mistake("routers", "are over " + MAX_ROUTERS);
         }
         if (kinds.stream().anyMatch(k -> k.name().equals("origin"))) {
             top.mistake("routers", "have a kind named origin, which is the origin's");
@@ -189,146 +189,154 @@
         return kinds;
     }
 
-    private static RouterKind usual(String name, int count, int cores, double speed) {
+    private static RouterKind defaultRouterKind(String name, int count, int cores, double speed) {
         Table empty = new Table(Toml.parse(""), "", null, new ArrayList<>());
-        return kindOf(empty, name, count, cores, speed);
+        return routerKind(empty, name, count, cores, speed);
     }
 
-    private RouterKind kind(Table t) {
-        return kindOf(
-                t,
-                t.text("kind", null),
-                (int) t.whole("count", 0, 1),
-                (int) t.whole("cores", 1, 2),
-                t.number("speed", 0.01, 100, 1));
+    private RouterKind readRouterKind(Table table) {
+        return routerKind(
+                table,
+                table.text("kind", null),
+                (int) table.whole("count", 0, 1),
+                (int) table.whole("cores", 1, 2),
+                table.number("speed", 0.01, 100, 1));
     }
 
-    private static RouterKind kindOf(Table t, String name, int count, int cores, double speed) {
+    private static RouterKind routerKind(Table table, String name, int count, int cores, double speed) {
         return new RouterKind(
                 name == null ? "" : name,
                 count,
                 cores,
                 speed,
-                t.share("speed_spread", 0.1),
-                (int) t.whole("slots", 1, 4),
-                (int) t.whole("room", 0, 20),
-                t.share("thrash", 0),
-                t.number("crowd", 1, 1000, 6),
-                t.size("memory", 16L << 20),
-                t.time("ttl", 0),
-                t.share("cold_share", 0.2),
-                t.times("cold", new Span(11 * SECOND, 23 * SECOND)),
-                t.flag("warms_by_work", false),
-                (int) t.whole("connections", 1, 1500),
-                t.time("handshake", 3 * MS),
-                t.time("idle_close", 30 * SECOND),
-                t.time("miss", MS),
-                t.share("errors", 0.001),
-                t.word("expired", Expired.class, Expired.EITHER),
-                t.times("pause", new Span(0, 60 * MS)),
-                t.times("pause_every", new Span(5 * SECOND, 12 * SECOND)));
+                table.share("speed_spread", 0.1),
+                (int) table.whole("slots", 1, 4),
+                (int) table.whole("room", 0, 20),
+                table.share("thrash", 0),
+                table.number("crowd", 1, 1000, 6),
+                table.size("memory", 16L << 20),
+                table.time("ttl", 0),
+                table.share("cold_share", 0.2),
+                table.times("cold", new Span(11 * MICROS_PER_SECOND, 23 * MICROS_PER_SECOND)),
+                table.flag("warms_by_work", false),
+                (int) table.whole("connections", 1, 1500),
+                table.time("handshake", 3 * MICROS_PER_MS),
+                table.time("idle_close", 30 * MICROS_PER_SECOND),
+                table.time("miss", MICROS_PER_MS),
+                table.share("errors", 0.001),
+                table.word("expired", Expired.class, Expired.EITHER),
+                table.times("pause", new Span(0, 60 * MICROS_PER_MS)),
+                table.times("pause_every", new Span(5 * MICROS_PER_SECOND, 12 * MICROS_PER_SECOND)));
     }
 
-    private Origin origin(Table t) {
+    private Origin readOrigin(Table table) {
         Origin origin = new Origin(
-                t.rate("capacity", 40),
-                (int) t.whole("slots", 1, 6),
-                (int) t.whole("room", 0, 60),
-                t.number("sigma", 0, 3, 0.4),
-                t.share("errors", 0.001),
-                t.number("fall_multiple", 1, 1000, 2.5),
-                t.time("fall", 3 * SECOND),
-                t.times("down", new Span(3 * SECOND, 6 * SECOND)),
-                (int) t.whole("most_falls", 0, 2));
+                table.rate("capacity", 40),
+                (int) table.whole("slots", 1, 6),
+                (int) table.whole("room", 0, 60),
+                table.number("sigma", 0, 3, 0.4),
+                table.share("errors", 0.001),
+                table.number("fall_multiple", 1, 1000, 2.5),
+                table.time("fall", 3 * MICROS_PER_SECOND),
+                table.times("down", new Span(3 * MICROS_PER_SECOND, 6 * MICROS_PER_SECOND)),
+                (int) table.whole("most_falls", 0, 2));
         if (origin.capacity() <= 0) {
-            t.mistake("capacity", "is 0");
+            table.mistake("capacity", "is 0");
         }
-        t.end();
+        table.end();
         return origin;
     }
 
-    private Discovery discovery(Table t) {
+    private Discovery readDiscovery(Table table) {
         Discovery discovery = new Discovery(
-                t.flag("pushed", false),
-                t.times("notice", new Span(SECOND, 3_800 * MS)),
-                t.times("silent", new Span(4_500 * MS, 12 * SECOND)),
-                t.times("add", new Span(300 * MS, 2 * SECOND)),
-                t.times("spread", new Span(25 * MS, 1_300 * MS)),
-                t.time("call", 20 * MS),
-                t.time("line", MS),
-                t.time("patience", 2 * SECOND),
-                t.time("failed", 0),
-                t.flag("at_once", false),
-                t.flag("starts_as_held", false),
-                t.flag("busy_when_down", false));
-        t.end();
+                table.flag("pushed", false),
+                table.times("notice", new Span(MICROS_PER_SECOND, 3_800 * MICROS_PER_MS)),
+                table.times("silent", new Span(4_500 * MICROS_PER_MS, 12 * MICROS_PER_SECOND)),
+                table.times("add", new Span(300 * MICROS_PER_MS, 2 * MICROS_PER_SECOND)),
+                table.times("spread", new Span(25 * MICROS_PER_MS, 1_300 * MICROS_PER_MS)),
+                table.time("call", 20 * MICROS_PER_MS),
+                table.time("line", MICROS_PER_MS),
+                table.time("patience", 2 * MICROS_PER_SECOND),
+                table.time("failed", 0),
+                table.flag("at_once", false),
+                table.flag("starts_as_held", false),
+                table.flag("busy_when_down", false));
+        table.end();
         return discovery;
     }
 
-    private Traffic traffic(Table t, int zones) {
-        List<Double> even = new ArrayList<>();
-        for (int i = 0; i < zones; i++) {
-            even.add(1.0 / zones);
+    private Traffic readTraffic(Table table, int zoneCount) {
+        List<Double> evenShares = new ArrayList<>();
+        for (int i = 0; i < zoneCount; i++) {
+            evenShares.add(1.0 / zoneCount);
         }
-        List<Double> shares = t.shares("zone_shares", even);
-        if (shares.size() != zones) {
-            t.mistake("zone_shares", "has " + shares.size() + " shares for " + zones + " zones");
-            shares = even;
+        List<Double> shares = table.shares("zone_shares", evenShares);
+        if (shares.size() != zoneCount) {
+            table.mistake("zone_shares", "has " + shares.size() + " shares for " + zoneCount + " zones");
+            shares = evenShares;
         }
         Traffic traffic = new Traffic(
-                t.rate("rate", 170),
+                table.rate("rate", 170),
                 shares,
-                t.share("wave", 0.2),
-                t.time("wave_period", 20 * SECOND),
-                t.share("retry", 0.5),
-                t.times("backoff", new Span(30 * MS, 240 * MS)),
-                t.share("honour", 0.9),
-                t.share("least_try", 0.7),
-                t.share("most_try", 1),
-                t.share("impatient", 0.02),
-                t.times("front_notice", new Span(950 * MS, 3_300 * MS)));
+                table.share("wave", 0.2),
+                table.time("wave_period", 20 * MICROS_PER_SECOND),
+                table.share("retry", 0.5),
+                table.times("backoff", new Span(30 * MICROS_PER_MS, 240 * MICROS_PER_MS)),
+                table.share("honour", 0.9),
+                table.share("least_try", 0.7),
+                table.share("most_try", 1),
+                table.share("impatient", 0.02),
+                table.times("front_notice", new Span(950 * MICROS_PER_MS, 3_300 * MICROS_PER_MS)));
         if (traffic.rate() <= 0) {
-            t.mistake("rate", "is 0");
+            table.mistake("rate", "is 0");
         }
-        t.end();
+        table.end();
         return traffic;
     }
 
-    private List<RequestClass> classes(Table top) {
+    private List<RequestClass> readClasses(Table top) {
         List<RequestClass> classes = new ArrayList<>();
         List<Table> tables = top.tables("classes");
-        for (Table t : tables) {
-            Effect effect = t.word("effect", Effect.class, Effect.SAFE);
-            RequestClass c = new RequestClass(
-                    t.text("name", null),
-                    t.share("share", 1),
+        for (Table table : tables) {
+            Effect effect = table.word("effect", Effect.class, Effect.SAFE);
+            RequestClass requestClass = new RequestClass(
+                    table.text("name", null),
+                    table.share("share", 1),
                     effect,
-                    t.flag("write", effect != Effect.SAFE),
-                    t.times("work", new Span(97 * MS, 170 * MS)),
-                    t.time("aim"),
-                    t.time("give_up"),
-                    t.time("window", 0),
-                    t.number("worth", 0, 1000, 1));
-            if (effect == Effect.KEYED && c.windowMicros() == 0) {
-                t.mistake("window", "is missing: a keyed class has a time in which a repeat is dropped");
+                    table.flag("write", effect != Effect.SAFE),
+                    table.times("work", new Span(97 * MICROS_PER_MS, 170 * MICROS_PER_MS)),
+                    table.time("aim"),
+                    table.time("give_up"),
+                    table.time("window", 0),
+                    table.number("worth", 0, 1000, 1));
+            if (effect == Effect.KEYED && requestClass.windowMicros() == 0) {
+                table.mistake("window", "is missing: a keyed class has a time in which a repeat is dropped");
             }
-            if (c.giveUpMicros() < c.aimMicros()) {
-                t.mistake("give_up", "is before aim");
+            if (requestClass.giveUpMicros() < requestClass.aimMicros()) {
+                table.mistake("give_up", "is before aim");
             }
-            classes.add(c);
-            t.end();
+            classes.add(requestClass);
+            table.end();
         }
         if (tables.isEmpty()) {
             classes.add(new RequestClass(
-                    "map-read", 0.969, Effect.SAFE, false, new Span(97 * MS, 170 * MS), 800 * MS, 1_500 * MS, 0, 1));
+                    "map-read",
+                    0.969,
+                    Effect.SAFE,
+                    false,
+                    new Span(97 * MICROS_PER_MS, 170 * MICROS_PER_MS),
+                    800 * MICROS_PER_MS,
+                    1_500 * MICROS_PER_MS,
+                    0,
+                    1));
             classes.add(new RequestClass(
                     "search-order",
                     0.019,
                     Effect.UNSAFE,
                     true,
-                    new Span(100 * MS, 190 * MS),
-                    750 * MS,
-                    1_500 * MS,
+                    new Span(100 * MICROS_PER_MS, 190 * MICROS_PER_MS),
+                    750 * MICROS_PER_MS,
+                    1_500 * MICROS_PER_MS,
                     0,
                     2));
             classes.add(new RequestClass(
@@ -336,120 +344,124 @@
                     0.012,
                     Effect.KEYED,
                     true,
-                    new Span(130 * MS, 240 * MS),
-                    1_200 * MS,
-                    5 * SECOND,
-                    25 * SECOND,
+                    new Span(130 * MICROS_PER_MS, 240 * MICROS_PER_MS),
+                    1_200 * MICROS_PER_MS,
+                    5 * MICROS_PER_SECOND,
+                    25 * MICROS_PER_SECOND,
                     2));
         }
-        sum(top, "classes", classes.stream().mapToDouble(RequestClass::share).sum());
+        checkShareSum(
+                top,
+                "classes",
+                classes.stream().mapToDouble(RequestClass::share).sum());
         return classes;
     }
 
-    private List<Tenant> tenants(Table top) {
+    private List<Tenant> readTenants(Table top) {
         List<Tenant> tenants = new ArrayList<>();
-        for (Table t : top.tables("tenants")) {
-            tenants.add(new Tenant(t.text("name", null), t.share("share", 1)));
-            t.end();
+        for (Table table : top.tables("tenants")) {
+            tenants.add(new Tenant(table.text("name", null), table.share("share", 1)));
+            table.end();
         }
         if (tenants.isEmpty()) {
             tenants.add(new Tenant("fraser-surveyors", 0.7));
             tenants.add(new Tenant("coastline-notaries", 0.3));
         }
-        sum(top, "tenants", tenants.stream().mapToDouble(Tenant::share).sum());
+        checkShareSum(
+                top, "tenants", tenants.stream().mapToDouble(Tenant::share).sum());
         return tenants;
     }
 
-    private static void sum(Table top, String field, double sum) {
+    private static void checkShareSum(Table top, String field, double sum) {
         if (Math.abs(sum - 1) > 0.001) {
             top.mistake(field, "have shares that make " + Math.round(sum * 1000) / 10.0 + "% instead of 100%");
         }
     }
 
-    private Keys keys(Table t) {
+    private Keys readKeys(Table table) {
         Keys keys = new Keys(
-                (int) t.whole("count", 1, 8_000),
-                t.number("exponent", 0.01, 5, 0.95),
-                t.share("drift", 0.0005),
-                t.rate("changes", 0),
-                t.size("size", 4 << 10),
-                t.number("size_sigma", 0, 3, 0.5),
-                t.flag("prefill", true));
-        t.end();
+                (int) table.whole("count", 1, 8_000),
+                table.number("exponent", 0.01, 5, 0.95),
+                table.share("drift", 0.0005),
+                table.rate("changes", 0),
+                table.size("size", 4 << 10),
+                table.number("size_sigma", 0, 3, 0.5),
+                table.flag("prefill", true));
+        table.end();
         return keys;
     }
 
-    private Figures figures(Table t) {
+    private Figures readFigures(Table table) {
         Figures figures = new Figures(
-                (int) t.whole("max_attempts", 1, 5),
-                t.time("connect", 250 * MS),
-                t.time("answer_slack", 20 * MS),
-                t.time("drain_grace", 500 * MS),
-                t.time("ask_within", 10 * SECOND),
-                t.number("tip_multiple", 1, MANY, 3),
-                t.time("tip", 3 * SECOND),
-                t.time("max_retry_after", 2 * SECOND),
-                t.flag("retry_after", true),
-                t.flag("may_cancel", true),
-                t.word("reports", Scenario.Reports.class, Scenario.Reports.OFF));
-        t.end();
+                (int) table.whole("max_attempts", 1, 5),
+                table.time("connect", 250 * MICROS_PER_MS),
+                table.time("answer_slack", 20 * MICROS_PER_MS),
+                table.time("drain_grace", 500 * MICROS_PER_MS),
+                table.time("ask_within", 10 * MICROS_PER_SECOND),
+                table.number("tip_multiple", 1, UNBOUNDED, 3),
+                table.time("tip", 3 * MICROS_PER_SECOND),
+                table.time("max_retry_after", 2 * MICROS_PER_SECOND),
+                table.flag("retry_after", true),
+                table.flag("may_cancel", true),
+                table.word("reports", Scenario.Reports.class, Scenario.Reports.OFF));
+        table.end();
         return figures;
     }
 
-    private ModuleSettings moduleSettings(Table t) {
+    private ModuleSettings readModuleSettings(Table table) {
         ModuleSettings settings = new ModuleSettings(
-                t.flag("work", true),
-                t.flag("sizes", true),
-                t.flag("retries", true),
-                t.flag("by_work", true),
-                t.share("over_share", 0.1),
-                t.time("cpu", 400 * MS),
-                t.number("cpu_per_request", 0, MANY, 0),
-                (int) t.whole("streams", 1, 32));
-        t.end();
+                table.flag("work", true),
+                table.flag("sizes", true),
+                table.flag("retries", true),
+                table.flag("by_work", true),
+                table.share("over_share", 0.1),
+                table.time("cpu", 400 * MICROS_PER_MS),
+                table.number("cpu_per_request", 0, UNBOUNDED, 0),
+                (int) table.whole("streams", 1, 32));
+        table.end();
         return settings;
     }
 
-    private List<ScriptedEvent> script(Table top, List<String> zones, long end) {
+    private List<ScriptedEvent> readScript(Table top, List<String> zones, long endMicros) {
         List<ScriptedEvent> events = new ArrayList<>();
-        for (Table t : top.tables("script")) {
-            EventKind what = t.word("do", EventKind.class, null);
-            long at = t.time("at");
-            if (at > end) {
-                t.mistake("at", "is after the end");
+        for (Table table : top.tables("script")) {
+            EventKind kind = table.word("do", EventKind.class, null);
+            long startMicros = table.time("at");
+            if (startMicros > endMicros) {
+                table.mistake("at", "is after the end");
             }
-            boolean lasts = what == null || !AT_ONCE.contains(what);
-            long lasting = lasts ? t.time("for") : t.time("for", 0);
-            String zone = t.text("zone", "");
+            boolean hasDuration = kind == null || !INSTANTANEOUS.contains(kind);
+            long durationMicros = hasDuration ? table.time("for") : table.time("for", 0);
+            String zone = table.text("zone", "");
             if (!zone.isEmpty() && !zones.contains(zone)) {
-                t.mistake("zone", "= \"" + zone + "\" is none of " + String.join(", ", zones));
+                table.mistake("zone", "= \"" + zone + "\" is none of " + String.join(", ", zones));
             }
-            if (what == EventKind.CUT && zone.isEmpty()) {
-                t.mistake("zone", "is missing: it is the zone that is cut off from the others");
+            if (kind == EventKind.CUT && zone.isEmpty()) {
+                table.mistake("zone", "is missing: it is the zone that is cut off from the others");
             }
-            double factor = t.number("factor", 0, 1000, 2);
-            if ((what == EventKind.SURGE
-                            || what == EventKind.SLOW_ORIGIN
-                            || what == EventKind.SLOW_ROUTER
-                            || what == EventKind.DISCOVERY_SLOW)
-                    && !t.has("factor")) {
-                t.mistake("factor", "is missing: how many times more, or slower");
+            double factor = table.number("factor", 0, 1000, 2);
+            if ((kind == EventKind.SURGE
+                            || kind == EventKind.SLOW_ORIGIN
+                            || kind == EventKind.SLOW_ROUTER
+                            || kind == EventKind.DISCOVERY_SLOW)
+                    && !table.has("factor")) {
+                table.mistake("factor", "is missing: how many times more, or slower");
             }
-            Spoil spoil = t.word("spoil", Spoil.class, Spoil.GARBLE);
+            Spoil spoil = table.word("spoil", Spoil.class, Spoil.GARBLE);
             events.add(new ScriptedEvent(
-                    what,
-                    at,
-                    lasting,
+                    kind,
+                    startMicros,
+                    durationMicros,
                     factor,
-                    t.share("share", what == EventKind.SCAN || what == EventKind.HOT_KEY ? 0.1 : 1),
-                    (int) t.whole("count", 1, 1),
+                    table.share("share", kind == EventKind.SCAN || kind == EventKind.HOT_KEY ? 0.1 : 1),
+                    (int) table.whole("count", 1, 1),
                     zone,
-                    t.time("within", 0),
-                    t.share("at_once", 0.25),
+                    table.time("within", 0),
+                    table.share("at_once", 0.25),
                     spoil,
-                    t.flag("planned", true),
-                    t.line()));
-            t.end();
+                    table.flag("planned", true),
+                    table.line()));
+            table.end();
         }
         events.sort(java.util.Comparator.comparingLong(ScriptedEvent::atMicros));
         return events;
--- a/emulator/src/main/java/baymoor/emulator/scenario/Table.java
+++ b/emulator/src/main/java/baymoor/emulator/scenario/Table.java
@@ -20,41 +20,44 @@
 public final class Table {
 
     /** Up to two letters wrong. */
-    private static final LevenshteinDistance LIKENESS = new LevenshteinDistance(2);
+    private static final LevenshteinDistance TYPO_DISTANCE = new LevenshteinDistance(2);
 
     private final TomlTable table;
     private final String path;
-    private final TomlPosition place;
+    private final TomlPosition position;
     private final List<Mistake> mistakes;
-    private final Set<String> asked = new LinkedHashSet<>();
+    private final Set<String> knownFields = new LinkedHashSet<>();
 
-    public Table(TomlTable table, String path, TomlPosition place, List<Mistake> mistakes) {
+    public Table(TomlTable table, String path, TomlPosition position, List<Mistake> mistakes) {
         this.table = table;
         this.path = path;
-        this.place = place;
+        this.position = position;
         this.mistakes = mistakes;
     }
 
     /** The line at which the table begins, 0 where there is none. */
     public int line() {
-        return place == null ? 0 : place.line();
+        return position == null ? 0 : position.line();
     }
 
     /** Whether a field stands in the table. */
     public boolean has(String field) {
-        asked.add(field);
+        knownFields.add(field);
         return table.contains(List.of(field));
     }
 
     private Object get(String field) {
-        asked.add(field);
+        knownFields.add(field);
         return table.get(List.of(field));
     }
 
     /** Notes a mistake at a field. */
-    public void mistake(String field, String what) {
-        TomlPosition at = table.contains(List.of(field)) ? table.inputPositionOf(List.of(field)) : place;
-        mistakes.add(new Mistake(at == null ? 0 : at.line(), at == null ? 0 : at.column(), path + field + " " + what));
+    public void mistake(String field, String problem) {
+        TomlPosition fieldPosition = table.contains(List.of(field)) ? table.inputPositionOf(List.of(field)) : position;
+        mistakes.add(new Mistake(
+                fieldPosition == null ? 0 : fieldPosition.line(),
+                fieldPosition == null ? 0 : fieldPosition.column(),
+                path + field + " " + problem));
     }
 
     /** A table within, empty where there is none. */
@@ -63,40 +66,40 @@
         if (value != null && !(value instanceof TomlTable)) {
             mistake(field, "is not a table");
         }
-        boolean there = value instanceof TomlTable;
+        boolean present = value instanceof TomlTable;
         return new Table(
-                there ? (TomlTable) value : org.tomlj.Toml.parse(""),
+                present ? (TomlTable) value : org.tomlj.Toml.parse(""),
                 path + field + ".",
-                there ? table.inputPositionOf(List.of(field)) : place,
+                present ? table.inputPositionOf(List.of(field)) : position,
                 mistakes);
     }
 
     /** An array of tables, empty where there is none. */
     public List<Table> tables(String field) {
         Object value = get(field);
-        List<Table> all = new ArrayList<>();
+        List<Table> values = new ArrayList<>();
         if (value instanceof TomlArray array && array.toList().stream().allMatch(TomlTable.class::isInstance)) {
             for (int i = 0; i < array.size(); i++) {
-                all.add(new Table(
+                values.add(new Table(
                         array.getTable(i), path + field + "[" + (i + 1) + "].", array.inputPositionOf(i), mistakes));
             }
         } else if (value != null) {
             mistake(field, "is not a list of tables; write [[" + path + field + "]]");
         }
-        return all;
+        return values;
     }
 
     /** A list of texts. */
-    public List<String> texts(String field, List<String> absent) {
+    public List<String> texts(String field, List<String> defaultValue) {
         Object value = get(field);
         if (value == null) {
-            return absent;
+            return defaultValue;
         }
-        List<String> all = new ArrayList<>();
+        List<String> values = new ArrayList<>();
         if (value instanceof TomlArray array) {
             for (int i = 0; i < array.size(); i++) {
                 if (array.get(i) instanceof String text) {
-                    all.add(text);
+                    values.add(text);
                 } else {
                     mistake(field, "holds something that is not text");
                 }
@@ -104,97 +107,97 @@
         } else {
             mistake(field, "is not a list of texts");
         }
-        return all;
+        return values;
     }
 
     /** A text; without {@code absent} it has to be there. */
-    public String text(String field, String absent) {
+    public String text(String field, String defaultValue) {
         Object value = get(field);
         if (value == null || value instanceof String) {
-            if (value == null && absent == null) {
+            if (value == null && defaultValue == null) {
                 mistake(field, "is missing");
             }
-            return value == null ? absent : (String) value;
+            return value == null ? defaultValue : (String) value;
         }
         mistake(field, "is not text");
-        return absent;
+        return defaultValue;
     }
 
     /** True or false. */
-    public boolean flag(String field, boolean absent) {
+    public boolean flag(String field, boolean defaultValue) {
         Object value = get(field);
         if (value != null && !(value instanceof Boolean)) {
             mistake(field, "is neither true nor false");
-            return absent;
+            return defaultValue;
         }
-        return value == null ? absent : (Boolean) value;
+        return value == null ? defaultValue : (Boolean) value;
     }
 
     /** A whole number of things from {@code least} on. */
-    public long whole(String field, long least, long absent) {
+    public long whole(String field, long min, long defaultValue) {
         Object value = get(field);
         if (value == null) {
-            return absent;
+            return defaultValue;
         }
         if (!(value instanceof Long number)) {
             mistake(field, "is not a whole number");
-            return absent;
+            return defaultValue;
         }
-        if (number < least) {
-            mistake(field, "is " + number + ", under " + least);
-            return absent;
+        if (number < min) {
+            mistake(field, "is " + number + ", under " + min);
+            return defaultValue;
         }
         return number;
     }
 
     /** A number without a unit, between two bounds: factors and exponents. */
-    public double number(String field, double least, double most, double absent) {
+    public double number(String field, double min, double max, double defaultValue) {
         Object value = get(field);
         if (value == null) {
-            return absent;
+            return defaultValue;
         }
         if (!(value instanceof Number number)) {
             mistake(field, "is not a number");
-            return absent;
+            return defaultValue;
         }
-        return within(field, number.doubleValue(), least, most, absent);
+        return checkRange(field, number.doubleValue(), min, max, defaultValue);
     }
 
-    private double within(String field, double value, double least, double most, double absent) {
-        if (value >= least && value <= most) {
+    private double checkRange(String field, double value, double min, double max, double defaultValue) {
+        if (value >= min && value <= max) {
             return value;
         }
-        mistake(field, String.format(Locale.ROOT, "is out of range (%s to %s)", plain(least), plain(most)));
-        return absent;
+        mistake(field, String.format(Locale.ROOT, "is out of range (%s to %s)", formatNumber(min), formatNumber(max)));
+        return defaultValue;
     }
 
-    private static String plain(double number) {
+    private static String formatNumber(double number) {
         return number == Math.rint(number) ? Long.toString((long) number) : Double.toString(number);
     }
 
-    private double quantity(String field, Kind kind, Object value, double absent) {
+    private double quantity(String field, Kind kind, Object value, double defaultValue) {
         try {
             if (value instanceof String text) {
-                return Quantity.read(text, kind);
+                return Quantity.parse(text, kind);
             }
             if (value instanceof Number number) {
-                throw Quantity.bare(number.toString(), kind);
+                throw Quantity.missingUnit(number.toString(), kind);
             }
-            throw new Quantity.Unreadable("is not a quantity");
-        } catch (Quantity.Unreadable e) {
+            throw new Quantity.InvalidQuantityException("is not a quantity");
+        } catch (Quantity.InvalidQuantityException e) {
             mistake(field, e.getMessage().startsWith("is ") ? e.getMessage() : "= " + e.getMessage());
-            return absent;
+            return defaultValue;
         }
     }
 
-    private double quantity(String field, Kind kind, double absent) {
+    private double quantity(String field, Kind kind, double defaultValue) {
         Object value = get(field);
-        return value == null ? absent : quantity(field, kind, value, absent);
+        return value == null ? defaultValue : quantity(field, kind, value, defaultValue);
     }
 
     /** Microseconds. */
-    public long time(String field, long absent) {
-        return Math.round(quantity(field, Kind.TIME, absent));
+    public long time(String field, long defaultValue) {
+        return Math.round(quantity(field, Kind.TIME, defaultValue));
     }
 
     /** Microseconds, which must be stated. */
@@ -206,89 +209,89 @@
     }
 
     /** Bytes. */
-    public long size(String field, long absent) {
-        return Math.round(quantity(field, Kind.SIZE, absent));
+    public long size(String field, long defaultValue) {
+        return Math.round(quantity(field, Kind.SIZE, defaultValue));
     }
 
     /** Events a second. */
-    public double rate(String field, double absent) {
-        return quantity(field, Kind.RATE, absent);
+    public double rate(String field, double defaultValue) {
+        return quantity(field, Kind.RATE, defaultValue);
     }
 
     /** A share of 1, written as {@code "25%"}. */
-    public double share(String field, double absent) {
-        return within(field, quantity(field, Kind.SHARE, absent), 0, 1, absent);
+    public double share(String field, double defaultValue) {
+        return checkRange(field, quantity(field, Kind.SHARE, defaultValue), 0, 1, defaultValue);
     }
 
     /** A list of shares of 1. */
-    public List<Double> shares(String field, List<Double> absent) {
+    public List<Double> shares(String field, List<Double> defaultValue) {
         Object value = get(field);
         if (value == null) {
-            return absent;
+            return defaultValue;
         }
-        List<Double> all = new ArrayList<>();
+        List<Double> values = new ArrayList<>();
         if (value instanceof TomlArray array) {
             for (int i = 0; i < array.size(); i++) {
-                all.add(within(field, quantity(field, Kind.SHARE, array.get(i), 0), 0, 1, 0));
+                values.add(checkRange(field, quantity(field, Kind.SHARE, array.get(i), 0), 0, 1, 0));
             }
         } else {
             mistake(field, "is not a list of shares");
         }
-        return all;
+        return values;
     }
 
     /** One time, or a list of the least and the most. */
-    public Span times(String field, Span absent) {
+    public Span times(String field, Span defaultValue) {
         Object value = get(field);
         if (value == null) {
-            return absent;
+            return defaultValue;
         }
         if (value instanceof TomlArray array) {
             if (array.size() != 2) {
                 mistake(field, "has " + array.size() + " times instead of the least and the most");
-                return absent;
+                return defaultValue;
             }
-            long least = Math.round(quantity(field, Kind.TIME, array.get(0), 0));
-            long most = Math.round(quantity(field, Kind.TIME, array.get(1), least));
-            if (most < least) {
+            long min = Math.round(quantity(field, Kind.TIME, array.get(0), 0));
+            long max = Math.round(quantity(field, Kind.TIME, array.get(1), min));
+            if (max < min) {
                 mistake(field, "has its least above its most");
-                return absent;
+                return defaultValue;
             }
-            return new Span(least, most);
+            return new Span(min, max);
         }
-        return Span.of(Math.round(quantity(field, Kind.TIME, value, absent.least())));
+        return Span.of(Math.round(quantity(field, Kind.TIME, value, defaultValue.least())));
     }
 
     /** One of the words of an enumeration, written in small letters with hyphens. */
-    public <E extends Enum<E>> E word(String field, Class<E> words, E absent) {
-        String text = text(field, absent == null ? null : word(absent));
-        for (E e : words.getEnumConstants()) {
-            if (word(e).equals(text)) {
-                return e;
+    public <E extends Enum<E>> E word(String field, Class<E> type, E defaultValue) {
+        String text = text(field, defaultValue == null ? null : word(defaultValue));
+        for (E constant : type.getEnumConstants()) {
+            if (word(constant).equals(text)) {
+                return constant;
             }
         }
         if (text != null) {
-            String all =
-                    Arrays.stream(words.getEnumConstants()).map(Table::word).collect(Collectors.joining(", "));
-            mistake(field, "= \"" + text + "\" is none of " + all);
+            String names =
+                    Arrays.stream(type.getEnumConstants()).map(Table::word).collect(Collectors.joining(", "));
+            mistake(field, "= \"" + text + "\" is none of " + names);
         }
-        return absent;
+        return defaultValue;
     }
 
-    static String word(Enum<?> e) {
-        return e.name().toLowerCase(Locale.ROOT).replace('_', '-');
+    static String word(Enum<?> constant) {
+        return constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
     /** Notes every field that nobody asked for, with the nearest one that there is. */
     public void end() {
         for (String field : table.keySet()) {
-            if (!asked.contains(field)) {
-                String near = asked.stream()
-                        .filter(a -> LIKENESS.apply(a, field) >= 0)
+            if (!knownFields.contains(field)) {
+                String suggestion = knownFields.stream()
+                        .filter(known -> TYPO_DISTANCE.apply(known, field) >= 0)
                         .findFirst()
-                        .map(a -> "; did you mean " + a + "?")
-                        .orElse("; known here: " + String.join(", ", asked));
-                mistake(field, "is not a field" + near);
+                        .map(known -> "; did you mean " + known + "?")
+                        .orElse("; known here: " + String.join(", ", knownFields));
+                mistake(field, "is not a field" + suggestion);
             }
         }
     }
--- a/emulator/src/test/java/baymoor/emulator/scenario/ScenarioReaderTest.java
+++ b/emulator/src/test/java/baymoor/emulator/scenario/ScenarioReaderTest.java
@@ -21,7 +21,7 @@
     }
 
     @Test
-    public void anEmptyFileIsTheUsualSite() throws BadScenario {
+    public void emptyFileYieldsDefaultSite() throws BadScenario {
         Scenario s = ScenarioReader.parse("", "some/where/calm.toml");
         assertEquals("calm", s.name());
         assertEquals(4, s.balancers().count());
@@ -33,7 +33,7 @@
     }
 
     @Test
-    public void everyUnitIsRead() throws BadScenario {
+    public void parsesEveryUnit() throws BadScenario {
         Scenario s = ScenarioReader.parse("""
                 duration = "1.5m"
                 warm_up = "250ms"
@@ -56,7 +56,7 @@
     }
 
     @Test
-    public void aTimeWithoutAUnitSaysWhatToWrite() {
+    public void timeWithoutUnitIsRejectedWithExample() {
         assertEquals(
                 List.of(
                         "f.toml:1:1: duration = 60 has no unit; write a time such as \"800ms\" (units: us, ms, s, m, h)"),
@@ -68,16 +68,16 @@
     }
 
     @Test
-    public void aQuantityWithoutQuotesSaysWhatToWrite() {
-        List<String> said = mistakes("\nduration = 60s\n");
+    public void unquotedQuantityIsRejectedWithExample() {
+        List<String> messages = mistakes("\nduration = 60s\n");
         assertTrue(
-                said.toString(),
-                said.get(0).startsWith("f.toml:2:") && said.get(0).contains("write duration = \"60s\""));
+                messages.toString(),
+                messages.get(0).startsWith("f.toml:2:") && messages.get(0).contains("write duration = \"60s\""));
     }
 
     @Test
-    public void allMistakesAreNamedEachAtItsPlace() {
-        List<String> said = mistakes("""
+    public void reportsAllMistakesWithPositions() {
+        List<String> messages = mistakes("""
                 durration = "60s"
                 [balancers]
                 count = 0
@@ -93,34 +93,34 @@
                 do = "surges"
                 for = "1s"
                 """);
-        assertEquals(7, said.size());
+        assertEquals(7, messages.size());
         assertTrue(
-                said.toString(),
-                said.stream()
+                messages.toString(),
+                messages.stream()
                         .anyMatch(m -> m.startsWith("f.toml:1:1: durration is not a field; did you mean duration?")));
         assertTrue(
-                said.toString(),
-                said.stream().anyMatch(m -> m.startsWith("f.toml:3:1: balancers.count is 0, under 1")));
+                messages.toString(),
+                messages.stream().anyMatch(m -> m.startsWith("f.toml:3:1: balancers.count is 0, under 1")));
         assertTrue(
-                said.toString(),
-                said.stream().anyMatch(m -> m.startsWith("f.toml:5:1: traffic.rate = \"fast\" is not a rate")));
+                messages.toString(),
+                messages.stream().anyMatch(m -> m.startsWith("f.toml:5:1: traffic.rate = \"fast\" is not a rate")));
         assertTrue(
-                said.toString(),
-                said.stream().anyMatch(m -> m.startsWith("f.toml:6:1: traffic.retry is out of range")));
-        assertTrue(said.toString(), said.stream().anyMatch(m -> m.contains("script[1].zone is missing")));
-        assertTrue(said.toString(), said.stream().anyMatch(m -> m.contains("script[2].at is after the end")));
+                messages.toString(),
+                messages.stream().anyMatch(m -> m.startsWith("f.toml:6:1: traffic.retry is out of range")));
+        assertTrue(messages.toString(), messages.stream().anyMatch(m -> m.contains("script[1].zone is missing")));
+        assertTrue(messages.toString(), messages.stream().anyMatch(m -> m.contains("script[2].at is after the end")));
         assertTrue(
-                said.toString(),
-                said.stream().anyMatch(m -> m.contains("script[2].do = \"surges\" is none of surge, scan")));
+                messages.toString(),
+                messages.stream().anyMatch(m -> m.contains("script[2].do = \"surges\" is none of surge, scan")));
     }
 
     @Test
-    public void whatIsNotTomlIsNamedWithLineAndColumn() {
+    public void syntaxErrorIsReportedWithPosition() {
         assertTrue(mistakes("a = \n").get(0).startsWith("f.toml:1:"));
     }
 
     @Test
-    public void sharesMustMakeAWhole() {
+    public void sharesMustSumToOneHundredPercent() {
         assertTrue(mistakes("""
                 [[tenants]]
                 name = "a"
@@ -129,12 +129,12 @@
     }
 
     @Test
-    public void noTextWhateverMakesTheReaderFailOtherwise() throws IOException {
-        String good = Files.readString(Path.of("examples/scenarios/bad-routers.toml"));
-        for (int i = 0; i < good.length(); i += 7) {
-            String cut = good.substring(0, i);
-            String spoilt = good.substring(0, i) + "]" + good.substring(i + 1);
-            for (String text : new String[] {cut, spoilt}) {
+    public void malformedInputRaisesOnlyBadScenario() throws IOException {
+        String validText = Files.readString(Path.of("examples/scenarios/bad-routers.toml"));
+        for (int i = 0; i < validText.length(); i += 7) {
+            String truncated = validText.substring(0, i);
+            String corrupted = validText.substring(0, i) + "]" + validText.substring(i + 1);
+            for (String text : new String[] {truncated, corrupted}) {
                 try {
                     ScenarioReader.parse(text, "f");
                 } catch (BadScenario e) {
@@ -145,7 +145,7 @@
     }
 
     @Test
-    public void allExamplesAreGood() throws Exception {
+    public void allExampleScenariosAreValid() throws Exception {
         try (Stream<Path> files = Files.list(Path.of("examples/scenarios"))) {
             for (Path file : files.toList()) {
                 ScenarioReader.read(file);
