--- a/emulator/src/main/java/baymoor/emulator/world/Arrivals.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Arrivals.java
@@ -6,28 +6,28 @@
 final class Arrivals {
 
     private final Judge judge;
-    private final boolean tell;
-    private long connections;
+    private final boolean reporting;
+    private long lastConnection;
 
-    Arrivals(Judge judge, boolean tell) {
+    Arrivals(Judge judge, boolean reporting) {
         this.judge = judge;
-        this.tell = tell;
+        this.reporting = reporting;
     }
 
     /** A number for a new connection. */
     long connection() {
-        return ++connections;
+        return ++lastConnection;
     }
 
     /** A whole command has come in. */
     void came(String id, int balancer, String host, long connection) {
-        if (tell) {
+        if (reporting) {
             judge.attemptSent(id, balancer, host, connection);
         }
     }
 
     void closed(long connection) {
-        if (tell) {
+        if (reporting) {
             judge.attemptClosed(connection);
         }
     }
--- a/emulator/src/main/java/baymoor/emulator/world/BalancerConfig.java
+++ b/emulator/src/main/java/baymoor/emulator/world/BalancerConfig.java
@@ -11,12 +11,12 @@
 /** Writes the configuration of a balancer of a scenario, in the form that the serving program reads. */
 public final class BalancerConfig {
 
-    private static final double CAPACITY_WITHIN_SHARES = 0.85;
+    private static final double QUOTA_SHARE_OF_CAPACITY = 0.85;
 
     private BalancerConfig() {}
 
-    private static String text(InetSocketAddress a) {
-        return a.getAddress().getHostAddress() + ":" + a.getPort();
+    private static String hostAndPort(InetSocketAddress address) {
+        return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
     /**
@@ -24,141 +24,149 @@
      *
      * @param seed of this start, new with each
      */
-    public static String json(Scenario s, Platform platform, World world, int number, long seed) {
+    public static String json(Scenario scenario, Platform platform, World world, int balancer, long seed) {
         ObjectNode config = Listing.JSON.createObjectNode();
-        config.put("name", "n" + number)
-                .put("listen", text(platform.balancer(number)))
-                .put("discovery", text(platform.address(world.discoveryPlace(number), number)))
+        config.put("name", "n" + balancer)
+                .put("listen", hostAndPort(platform.balancer(balancer)))
+                .put("discovery", hostAndPort(platform.address(world.discoveryPlace(balancer), balancer)))
                 .put("seed", HexFormat.of().toHexDigits(seed));
         config.putObject("limits")
                 .put("cores", 1.0)
                 .put("memory_mb", 128)
-                .put("sockets", s.balancers().sockets());
-        if (s.balancers().peers()) {
-            config.put("peer_listen", text(platform.peer(number, number)));
+                .put("sockets", scenario.balancers().sockets());
+        if (scenario.balancers().peers()) {
+            config.put("peer_listen", hostAndPort(platform.peer(balancer, balancer)));
             ArrayNode peers = config.putArray("peers");
-            for (int b = 0; b < s.balancers().count(); b++) {
-                peers.add(text(platform.peer(b, number)));
+            for (int b = 0; b < scenario.balancers().count(); b++) {
+                peers.add(hostAndPort(platform.peer(b, balancer)));
             }
             if (platform.everyone() != null) {
-                config.put("peers_all", text(platform.everyone()));
+                config.put("peers_all", hostAndPort(platform.everyone()));
             }
         }
         config.set(
                 "known",
                 Listing.object(
-                        world.index(number),
+                        world.index(balancer),
                         true,
-                        world.listed(number),
-                        place -> platform.address(place, number),
+                        world.listed(balancer),
+                        place -> platform.address(place, balancer),
                         platform::unixMillis));
-        settings(config.putObject("settings"), s, number);
+        putSettings(config.putObject("settings"), scenario, balancer);
         return config.toString();
     }
 
-    private static void settings(ObjectNode set, Scenario s, int number) {
-        Scenario.Figures f = s.figures();
-        set.put("me", number)
-                .put("siblings", s.balancers().count())
-                .put("az", s.zones().get(number % s.zones().size()))
-                .put("membership_mode", s.discovery().pushed() ? "automatic" : "subscribe")
+    private static void putSettings(ObjectNode settings, Scenario scenario, int balancer) {
+        Scenario.Figures figures = scenario.figures();
+        settings.put("me", balancer)
+                .put("siblings", scenario.balancers().count())
+                .put("az", scenario.zones().get(balancer % scenario.zones().size()))
+                .put("membership_mode", scenario.discovery().pushed() ? "automatic" : "subscribe")
                 .put("weights", "rough")
                 .put("tick", 5000)
-                .put("counted_by", s.moduleSettings().byWork() ? "work" : "request")
-                .put("over_share_worth", s.moduleSettings().overShare())
+                .put("counted_by", scenario.moduleSettings().byWork() ? "work" : "request")
+                .put("over_share_worth", scenario.moduleSettings().overShare())
                 .put("layer", 0);
-        ArrayNode zones = set.putArray("failure_domains");
-        s.zones().forEach(zones::add);
-        ArrayNode kinds = set.putArray("skus");
-        s.routers().forEach(k -> kinds.add(k.name()));
-        kinds.add("origin");
-        set.putArray("layers").add("map-cache");
-        set.putObject("extra")
+        ArrayNode zones = settings.putArray("failure_domains");
+        scenario.zones().forEach(zones::add);
+        ArrayNode routerKinds = settings.putArray("skus");
+        scenario.routers().forEach(k -> routerKinds.add(k.name()));
+        routerKinds.add("origin");
+        settings.putArray("layers").add("map-cache");
+        settings.putObject("extra")
                 .put("mode", "aside")
-                .put("origin_kind", s.routers().size())
-                .put("origin_fall_multiple", s.origin().fallMultiple())
-                .put("origin_fall", s.origin().fallMicros());
-        classes(set.putArray("classes"), s);
-        tenants(set.putArray("tenants"), s);
-        limits(set.putObject("limits"), s);
-        rules(set.putObject("rules"), s);
-        prices(set.putObject("prices"));
-        set.putObject("scoring_mix")
+                .put("origin_kind", scenario.routers().size())
+                .put("origin_fall_multiple", scenario.origin().fallMultiple())
+                .put("origin_fall", scenario.origin().fallMicros());
+        putClasses(settings.putArray("classes"), scenario);
+        putTenants(settings.putArray("tenants"), scenario);
+        putLimits(settings.putObject("limits"), scenario);
+        putRules(settings.putObject("rules"), scenario);
+        putPrices(settings.putObject("prices"));
+        settings.putObject("scoring_mix")
                 .put("whole", 0.25)
                 .put("worst_window", 0.45)
                 .put("worst_class", 0.2)
                 .put("worst_tenant", 0.1);
-        ArrayNode names = set.putObject("load_info")
-                .put("how", f.reports().name().toLowerCase(Locale.ROOT))
+        ArrayNode loadFields = settings.putObject("load_info")
+                .put("how", figures.reports().name().toLowerCase(Locale.ROOT))
                 .putArray("names");
-        if (f.reports() != Scenario.Reports.OFF) {
-            LoadGauge.NAMES.forEach(names::add);
+        if (figures.reports() != Scenario.Reports.OFF) {
+            LoadGauge.NAMES.forEach(loadFields::add);
         }
-        set.putObject("client_habits").put("marks_retry", s.moduleSettings().retries());
+        settings.putObject("client_habits")
+                .put("marks_retry", scenario.moduleSettings().retries());
     }
 
-    private static void classes(ArrayNode classes, Scenario s) {
-        for (Scenario.RequestClass c : s.classes()) {
-            String effect = c.effect() == Effect.SAFE ? "retryable" : c.effect() == Effect.KEYED ? "dedup" : "fragile";
+    private static void putClasses(ArrayNode classes, Scenario scenario) {
+        for (Scenario.RequestClass requestClass : scenario.classes()) {
+            String effect = requestClass.effect() == Effect.SAFE
+                    ? "retryable"
+                    : requestClass.effect() == Effect.KEYED ? "dedup" : "fragile";
             classes.addObject()
-                    .put("name", c.name())
+                    .put("name", requestClass.name())
                     .put("effect", effect)
                     .put("group", "all")
-                    .put("on_time", c.aimMicros())
-                    .put("hard_limit", c.giveUpMicros())
-                    .put("key_ttl", c.windowMicros())
-                    .put("value", c.worth())
+                    .put("on_time", requestClass.aimMicros())
+                    .put("hard_limit", requestClass.giveUpMicros())
+                    .put("key_ttl", requestClass.windowMicros())
+                    .put("value", requestClass.worth())
                     .put("late_worth", 0.0)
                     .put("streamed", false);
         }
     }
 
-    private static void tenants(ArrayNode tenants, Scenario s) {
-        double requests = capacity(s) * CAPACITY_WITHIN_SHARES;
-        for (Scenario.Tenant t : s.tenants()) {
-            tenants.addObject().put("name", t.name()).put("share", t.share()).put("quota_per_s", requests * t.share());
+    private static void putTenants(ArrayNode tenants, Scenario scenario) {
+        double quotaPerSecond = capacityPerSecond(scenario) * QUOTA_SHARE_OF_CAPACITY;
+        for (Scenario.Tenant tenant : scenario.tenants()) {
+            tenants.addObject()
+                    .put("name", tenant.name())
+                    .put("share", tenant.share())
+                    .put("quota_per_s", quotaPerSecond * tenant.share());
         }
     }
 
-    private static void limits(ObjectNode limits, Scenario s) {
-        Scenario.Figures f = s.figures();
-        long leastIdle = s.routers().stream()
+    private static void putLimits(ObjectNode limits, Scenario scenario) {
+        Scenario.Figures figures = scenario.figures();
+        long minIdleMicros = scenario.routers().stream()
                 .mapToLong(Scenario.RouterKind::idleMicros)
                 .min()
                 .orElse(0);
-        limits.put("max_attempts", f.maxAttempts())
+        limits.put("max_attempts", figures.maxAttempts())
                 .put("open_cap", 20_000)
                 .put("second_copies", false)
-                .put("may_cancel", f.mayCancel())
-                .put("may_probe", s.balancers().probes())
-                .put("may_tell", s.balancers().peers())
-                .put("retry_after", f.retryAfter())
-                .put("max_retry_after", f.maxRetryAfterMicros())
-                .put("connect_timeout", f.connectMicros())
-                .put("idle_close", leastIdle)
-                .put("streams_per_conn", s.moduleSettings().streams())
-                .put("cpu_us_per_s", s.moduleSettings().cpuMicros())
-                .put("cpu_us_per_request", s.moduleSettings().cpuPerRequestMicros());
+                .put("may_cancel", figures.mayCancel())
+                .put("may_probe", scenario.balancers().probes())
+                .put("may_tell", scenario.balancers().peers())
+                .put("retry_after", figures.retryAfter())
+                .put("max_retry_after", figures.maxRetryAfterMicros())
+                .put("connect_timeout", figures.connectMicros())
+                .put("idle_close", minIdleMicros)
+                .put("streams_per_conn", scenario.moduleSettings().streams())
+                .put("cpu_us_per_s", scenario.moduleSettings().cpuMicros())
+                .put("cpu_us_per_request", scenario.moduleSettings().cpuPerRequestMicros());
     }
 
-    private static void rules(ObjectNode rules, Scenario s) {
-        Scenario.Figures f = s.figures();
-        double leastColdShare = s.routers().stream()
+    private static void putRules(ObjectNode rules, Scenario scenario) {
+        Scenario.Figures figures = scenario.figures();
+        double minColdShare = scenario.routers().stream()
                 .mapToDouble(Scenario.RouterKind::coldShare)
                 .min()
                 .orElse(1);
-        long longestCold =
-                s.routers().stream().mapToLong(k -> k.coldMicros().most()).max().orElse(0);
-        rules.put("answer_slack", f.answerSlackMicros())
-                .put("drain_grace", f.drainGraceMicros())
-                .put("ask_within", f.askWithinMicros())
-                .put("start_capacity", leastColdShare)
-                .put("cold", longestCold)
-                .put("tip_multiple", f.tipMultiple())
-                .put("overload_for", f.tipMicros());
+        long maxColdMicros = scenario.routers().stream()
+                .mapToLong(k -> k.coldMicros().most())
+                .max()
+                .orElse(0);
+        rules.put("answer_slack", figures.answerSlackMicros())
+                .put("drain_grace", figures.drainGraceMicros())
+                .put("ask_within", figures.askWithinMicros())
+                .put("start_capacity", minColdShare)
+                .put("cold", maxColdMicros)
+                .put("tip_multiple", figures.tipMultiple())
+                .put("overload_for", figures.tipMicros());
     }
 
-    private static void prices(ObjectNode prices) {
+    private static void putPrices(ObjectNode prices) {
         prices.put("cross_zone", 0.03)
                 .put("late_fail", 0.03)
                 .put("origin", 0.03)
@@ -168,13 +176,13 @@
     }
 
     /** Requests a second that the routers can serve when all are warm. */
-    private static double capacity(Scenario s) {
-        double cores = s.routers().stream()
+    private static double capacityPerSecond(Scenario scenario) {
+        double cores = scenario.routers().stream()
                 .mapToDouble(k -> k.count() * k.cores() * k.speed())
                 .sum();
-        double work = s.classes().stream()
+        double meanWorkMicros = scenario.classes().stream()
                 .mapToDouble(c -> c.share() * c.work().middle())
                 .sum();
-        return cores / (work / 1e6);
+        return cores / (meanWorkMicros / 1e6);
     }
 }
--- a/emulator/src/main/java/baymoor/emulator/world/Facts.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Facts.java
@@ -6,25 +6,27 @@
     private Facts() {}
 
     /** The value behind a name, or null. */
-    static String get(String list, String name) {
-        int at = 0;
-        while (at < list.length()) {
-            int comma = list.indexOf(',', at);
-            int end = comma < 0 ? list.length() : comma;
-            if (list.startsWith(name, at) && at + name.length() < end && list.charAt(at + name.length()) == '=') {
-                return list.substring(at + name.length() + 1, end);
+    static String get(String attributes, String name) {
+        int position = 0;
+        while (position < attributes.length()) {
+            int comma = attributes.indexOf(',', position);
+            int end = comma < 0 ? attributes.length() : comma;
+            if (attributes.startsWith(name, position)
+                    && position + name.length() < end
+                    && attributes.charAt(position + name.length()) == '=') {
+                return attributes.substring(position + name.length() + 1, end);
             }
-            at = end + 1;
+            position = end + 1;
         }
         return null;
     }
 
-    static long number(String list, String name, long absent) {
-        String text = get(list, name);
+    static long number(String attributes, String name, long defaultValue) {
+        String text = get(attributes, name);
         try {
-            return text == null ? absent : Long.parseLong(text);
+            return text == null ? defaultValue : Long.parseLong(text);
         } catch (NumberFormatException e) {
-            return absent;
+            return defaultValue;
         }
     }
 }
--- a/emulator/src/main/java/baymoor/emulator/world/HttpRequests.java
+++ b/emulator/src/main/java/baymoor/emulator/world/HttpRequests.java
@@ -16,94 +16,94 @@
     /** A request: its method, its target as sent, headers by their names in small letters, and its body. */
     record Request(String method, String target, Map<String, String> headers, byte[] body) {}
 
-    private static final int LONGEST_LINE = 8192;
-    private static final int MOST_HEADERS = 100;
-    private static final int LONGEST_BODY = 64 * 1024;
+    private static final int MAX_LINE_LENGTH = 8192;
+    private static final int MAX_HEADERS = 100;
+    private static final int MAX_BODY_LENGTH = 64 * 1024;
 
     private final StringBuilder line = new StringBuilder();
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
-    private byte[] bytes = new byte[0];
-    private int at;
-    private String[] start;
+    private byte[] buffer = new byte[0];
+    private int position;
+    private String[] requestLine;
     private Map<String, String> headers = new HashMap<>();
-    private int length = -1;
+    private int contentLength = -1;
 
-    void feed(byte[] more) {
-        byte[] all = new byte[bytes.length - at + more.length];
-        System.arraycopy(bytes, at, all, 0, bytes.length - at);
-        System.arraycopy(more, 0, all, bytes.length - at, more.length);
-        bytes = all;
-        at = 0;
+    void feed(byte[] input) {
+        byte[] joined = new byte[buffer.length - position + input.length];
+        System.arraycopy(buffer, position, joined, 0, buffer.length - position);
+        System.arraycopy(input, 0, joined, buffer.length - position, input.length);
+        buffer = joined;
+        position = 0;
     }
 
     /** The next whole request, or null if more bytes are needed. */
     Request next() throws HttpException {
-        while (at < bytes.length || length == 0) {
-            if (length >= 0) {
-                int take = Math.min(length - body.size(), bytes.length - at);
-                body.write(bytes, at, take);
-                at += take;
-                if (body.size() < length) {
+        while (position < buffer.length || contentLength == 0) {
+            if (contentLength >= 0) {
+                int count = Math.min(contentLength - body.size(), buffer.length - position);
+                body.write(buffer, position, count);
+                position += count;
+                if (body.size() < contentLength) {
                     return null;
                 }
-                Request whole = new Request(start[0], start[1], headers, body.toByteArray());
+                Request request = new Request(requestLine[0], requestLine[1], headers, body.toByteArray());
                 body.reset();
                 headers = new HashMap<>();
-                start = null;
-                length = -1;
-                return whole;
+                requestLine = null;
+                contentLength = -1;
+                return request;
             }
-            byte b = bytes[at++];
+            byte b = buffer[position++];
             if (b != '\n') {
                 line.append((char) (b & 0xff));
-                if (line.length() > LONGEST_LINE) {
+                if (line.length() > MAX_LINE_LENGTH) {
                     throw new HttpException("line too long");
                 }
                 continue;
             }
             String text = line.toString().strip();
             line.setLength(0);
-            line(text);
+            parseLine(text);
         }
         return null;
     }
 
-    private void line(String text) throws HttpException {
-        if (start == null) {
+    private void parseLine(String text) throws HttpException {
+        if (requestLine == null) {
             if (!text.isEmpty()) { // an empty line before a request is passed over
-                start = text.split(" ");
-                if (start.length != 3 || !start[2].equals("HTTP/1.1")) {
+                requestLine = text.split(" ");
+                if (requestLine.length != 3 || !requestLine[2].equals("HTTP/1.1")) {
                     throw new HttpException("not an HTTP/1.1 request line");
                 }
             }
         } else if (text.isEmpty()) {
             try {
-                length = Integer.parseInt(headers.getOrDefault("content-length", "0"));
+                contentLength = Integer.parseInt(headers.getOrDefault("content-length", "0"));
             } catch (NumberFormatException e) {
                 throw new HttpException("length is not a number");
             }
-            if (length < 0 || length > LONGEST_BODY || headers.containsKey("transfer-encoding")) {
+            if (contentLength < 0 || contentLength > MAX_BODY_LENGTH || headers.containsKey("transfer-encoding")) {
                 throw new HttpException("body not taken");
             }
         } else {
-            int colon = text.indexOf(':');
-            if (colon <= 0 || headers.size() >= MOST_HEADERS) {
+            int colonIndex = text.indexOf(':');
+            if (colonIndex <= 0 || headers.size() >= MAX_HEADERS) {
                 throw new HttpException("malformed header");
             }
             headers.put(
-                    text.substring(0, colon).toLowerCase(Locale.ROOT),
-                    text.substring(colon + 1).strip());
+                    text.substring(0, colonIndex).toLowerCase(Locale.ROOT),
+                    text.substring(colonIndex + 1).strip());
         }
     }
 
-    /** A response with a stated length. {@code extra}: further header lines, each with its line end. */
-    static byte[] response(int status, String reason, String extra, byte[] body) {
-        byte[] head = ("HTTP/1.1 " + status + " " + reason + "\r\nContent-Length: " + body.length + "\r\n" + extra
-                        + "\r\n")
+    /** A response with a stated length. {@code extraHeaders}: further header lines, each with its line end. */
+    static byte[] response(int status, String reason, String extraHeaders, byte[] body) {
+        byte[] head = ("HTTP/1.1 " + status + " " + reason + "\r\nContent-Length: " + body.length + "\r\n"
+                        + extraHeaders + "\r\n")
                 .getBytes(StandardCharsets.US_ASCII);
-        byte[] all = new byte[head.length + body.length];
-        System.arraycopy(head, 0, all, 0, head.length);
-        System.arraycopy(body, 0, all, head.length, body.length);
-        return all;
+        byte[] response = new byte[head.length + body.length];
+        System.arraycopy(head, 0, response, 0, head.length);
+        System.arraycopy(body, 0, response, head.length, body.length);
+        return response;
     }
 }
--- a/emulator/src/main/java/baymoor/emulator/world/World.java
+++ b/emulator/src/main/java/baymoor/emulator/world/World.java
@@ -22,7 +22,7 @@
 /** All of a scenario but its balancers: routers, origin, discovery and clients, and the script that befalls them. */
 public final class World {
 
-    private static final long WAIT_MICROS = 200_000;
+    private static final long RESTART_RETRY_MICROS = 200_000;
     /** Of the longest time that a client waits: past it nothing more can come. */
     private static final int END_WAIT_FACTOR = 4;
 
@@ -31,9 +31,9 @@
     private final Streams streams;
     private final Judge judge;
     private final Tally tally;
-    private final BiConsumer<String, String> said;
+    private final BiConsumer<String, String> eventSink;
     private final Time time;
-    private final UniformRandomProvider chance;
+    private final UniformRandomProvider random;
     private final Catalogue catalogue;
     private final Fills fills;
     private final Arrivals arrivals;
@@ -44,42 +44,42 @@
     /** When each zone was cut off, -1 while it is not. */
     private final long[] cutSince;
 
-    private long start;
+    private long startedAt;
     private Fleet fleet;
 
-    /** @param said hears what the script does: the act, and to whom */
+    /** @param eventSink hears what the script does: the act, and to whom */
     public World(
             Scenario scenario,
             Platform platform,
             Streams streams,
             Judge judge,
             Tally tally,
-            BiConsumer<String, String> said) {
+            BiConsumer<String, String> eventSink) {
         this.scenario = scenario;
         this.platform = platform;
         this.streams = streams;
         this.judge = judge;
         this.tally = tally;
-        this.said = said;
+        this.eventSink = eventSink;
         time = platform.time("world", 0);
-        chance = streams.of("script");
+        random = streams.of("script");
         catalogue = new Catalogue(scenario, scenario.seed());
         fills = new Fills(
-                time, scenario.net().cross().middle(), scenario.origin().fallMicros(), this::voided);
+                time, scenario.net().cross().middle(), scenario.origin().fallMicros(), this::invalidateCopies);
         arrivals = new Arrivals(judge, platform.hostsTell());
         routers = new Routers(
                 scenario,
                 platform,
                 streams,
                 time,
-                chance,
+                random,
                 catalogue,
                 fills,
                 judge,
                 arrivals,
                 tally,
-                said,
-                this::changed);
+                eventSink,
+                this::updateDiscovery);
         origin = new Origin(
                 scenario,
                 platform.time(Origin.NAME, 0),
@@ -90,25 +90,25 @@
                 arrivals,
                 tally,
                 routers::coldDue,
-                this::originFell);
+                this::onOriginOverloaded);
         discovery = new DiscoveryService(
                 scenario.discovery(),
                 platform.time("discovery", 0),
                 streams.of("discovery"),
                 judge,
                 platform,
-                b -> scenario.discovery().pushed() ? -1 : cutOff(b),
-                (balancer, how) -> said.accept(how, "n" + balancer));
+                b -> scenario.discovery().pushed() ? -1 : cutOffSince(b),
+                (balancer, how) -> eventSink.accept(how, "n" + balancer));
         clients = new Clients(scenario, platform, streams, catalogue, judge, tally);
         cutSince = new long[scenario.zones().size()];
         Arrays.fill(cutSince, -1);
     }
 
-    private void voided(String key) {
+    private void invalidateCopies(String key) {
         routers.voided(key);
     }
 
-    private void changed(Entry entry, Sign sign) {
+    private void updateDiscovery(Entry entry, Sign sign) {
         discovery.changed(entry, sign);
     }
 
@@ -167,14 +167,14 @@
         for (int b = 0; b < fleet.count(); b++) {
             int zone = b % scenario.zones().size();
             // The service is in the first zone: cut off from that, an agent hears nothing and tells nothing.
-            int number = b;
-            Agent agent = discovery.agent(b, () -> cutOff(number) < 0);
+            int balancer = b;
+            Agent agent = discovery.agent(b, () -> cutOffSince(balancer) < 0);
             platform.listenBeside(b, discoveryPlace(b), "agent-" + b, zone, (link, from) -> agent.accept(link));
         }
     }
 
     /** Since when a balancer is cut off from the first zone, where origin and discovery are; -1 if it is not. */
-    private long cutOff(int balancer) {
+    private long cutOffSince(int balancer) {
         int zone = balancer % scenario.zones().size();
         return zone == 0
                 ? -1
@@ -185,23 +185,23 @@
 
     /** Lets the clients ask and the script begin. */
     public void begin() {
-        start = time.now();
+        startedAt = time.now();
         clients.start();
         if (scenario.keys().changes() > 0) {
-            change();
+            scheduleKeyChange();
         }
         for (ScriptedEvent event : scenario.script()) {
-            time.after(scenario.warmUpMicros() + event.atMicros() - (time.now() - start), () -> play(event));
+            time.after(scenario.warmUpMicros() + event.atMicros() - (time.now() - startedAt), () -> execute(event));
         }
     }
 
-    private long asksUntil() {
-        return start + scenario.warmUpMicros() + scenario.durationMicros();
+    private long arrivalsEnd() {
+        return startedAt + scenario.warmUpMicros() + scenario.durationMicros();
     }
 
     /** Whether clients still begin requests. */
     public boolean asking() {
-        return time.now() < asksUntil();
+        return time.now() < arrivalsEnd();
     }
 
     /** Whether all that was asked is over, or long past its time. */
@@ -210,20 +210,20 @@
                 .mapToLong(Scenario.RequestClass::giveUpMicros)
                 .max()
                 .orElse(0);
-        return !asking() && (clients.pendingRequests() == 0 || time.now() >= asksUntil() + END_WAIT_FACTOR * longest);
+        return !asking() && (clients.pendingRequests() == 0 || time.now() >= arrivalsEnd() + END_WAIT_FACTOR * longest);
     }
 
-    private void change() {
-        time.after((long) (Draw.exponential(chance) / scenario.keys().changes() * 1e6) + 1, () -> {
+    private void scheduleKeyChange() {
+        time.after((long) (Draw.exponential(random) / scenario.keys().changes() * 1e6) + 1, () -> {
             fills.changed(
-                    Catalogue.name(catalogue.key(chance.nextInt(scenario.keys().count()), time.now() - start)));
-            change();
+                    Catalogue.name(catalogue.key(random.nextInt(scenario.keys().count()), time.now() - startedAt)));
+            scheduleKeyChange();
         });
     }
 
-    private void originFell() {
-        said.accept("fell", Origin.NAME);
-        stopOrigin(Draw.within(chance, scenario.origin().downMicros()));
+    private void onOriginOverloaded() {
+        eventSink.accept("fell", Origin.NAME);
+        stopOrigin(Draw.within(random, scenario.origin().downMicros()));
     }
 
     private void stopOrigin(long micros) {
@@ -235,8 +235,8 @@
         });
     }
 
-    private void play(ScriptedEvent event) {
-        said.accept(event.what().name().toLowerCase(java.util.Locale.ROOT), event.zone());
+    private void execute(ScriptedEvent event) {
+        eventSink.accept(event.what().name().toLowerCase(java.util.Locale.ROOT), event.zone());
         switch (event.what()) {
             case SURGE -> {
                 clients.multiplyLoad(event.factor());
@@ -263,7 +263,7 @@
             case STOP_ORIGIN -> stopOrigin(event.forMicros());
             case FLUSH -> routers.flush(event.share());
             case HOT_KEY -> {
-                clients.setHotKey(event.share(), chance.nextLong());
+                clients.setHotKey(event.share(), random.nextLong());
                 time.after(event.forMicros(), () -> clients.setHotKey(0, 0));
             }
             case LOSE_DATAGRAMS -> {
@@ -277,27 +277,27 @@
             case DISCOVERY_DOWN -> {
                 discovery.down();
                 // An agent stays where it is, and falls silent; a service may be up in front and know nothing.
-                boolean stays =
+                boolean keepsListening =
                         scenario.discovery().pushed() || scenario.discovery().busyWhenDown();
-                if (!stays) {
+                if (!keepsListening) {
                     platform.stopListening(discoveryPlace(0), false);
                 }
                 time.after(event.forMicros(), () -> {
                     discovery.up();
-                    if (!stays) {
+                    if (!keepsListening) {
                         platform.listen(discoveryPlace(0), "discovery", 0, discovery::accept);
                     }
                 });
             }
             case RESTART_BALANCERS -> restartBalancers(event);
-            case KILL_BALANCER, VANISH_BALANCER, STALL_BALANCER -> balancers(event);
+            case KILL_BALANCER, VANISH_BALANCER, STALL_BALANCER -> disruptBalancers(event);
             default -> routers.befall(event);
         }
     }
 
-    private void balancers(ScriptedEvent event) {
-        List<Integer> numbers = numbers();
-        for (int b : numbers.subList(0, Math.min(event.count(), numbers.size()))) {
+    private void disruptBalancers(ScriptedEvent event) {
+        List<Integer> balancers = shuffledBalancers();
+        for (int b : balancers.subList(0, Math.min(event.count(), balancers.size()))) {
             switch (event.what()) {
                 case KILL_BALANCER -> fleet.kill(b, event.forMicros(), false);
                 case VANISH_BALANCER -> fleet.kill(b, event.forMicros(), true);
@@ -306,30 +306,30 @@
         }
     }
 
-    private List<Integer> numbers() {
-        List<Integer> numbers = new ArrayList<>();
+    private List<Integer> shuffledBalancers() {
+        List<Integer> balancers = new ArrayList<>();
         for (int b = 0; b < fleet.count(); b++) {
-            numbers.add(b);
+            balancers.add(b);
         }
-        Collections.shuffle(numbers, new Random(chance.nextLong()));
-        return numbers;
+        Collections.shuffle(balancers, new Random(random.nextLong()));
+        return balancers;
     }
 
     /** So large a share of the balancers, one after another, never more of them down than are allowed at once. */
     private void restartBalancers(ScriptedEvent event) {
-        List<Integer> numbers = numbers();
-        int n = (int) Math.ceil(event.share() * numbers.size());
-        int most = Math.max(1, (int) (event.atOnce() * numbers.size()));
-        for (int i = 0; i < n; i++) {
-            int b = numbers.get(i);
-            time.after(event.withinMicros() * i / n, () -> restartOne(event, b, most));
+        List<Integer> balancers = shuffledBalancers();
+        int restarts = (int) Math.ceil(event.share() * balancers.size());
+        int maxDown = Math.max(1, (int) (event.atOnce() * balancers.size()));
+        for (int i = 0; i < restarts; i++) {
+            int b = balancers.get(i);
+            time.after(event.withinMicros() * i / restarts, () -> restartWhenAllowed(event, b, maxDown));
         }
     }
 
-    private void restartOne(ScriptedEvent event, int balancer, int most) {
-        long down = numbers().stream().filter(b -> !fleet.up(b)).count();
-        if (down >= most) {
-            time.after(WAIT_MICROS, () -> restartOne(event, balancer, most));
+    private void restartWhenAllowed(ScriptedEvent event, int balancer, int maxDown) {
+        long down = shuffledBalancers().stream().filter(b -> !fleet.up(b)).count();
+        if (down >= maxDown) {
+            time.after(RESTART_RETRY_MICROS, () -> restartWhenAllowed(event, balancer, maxDown));
         } else {
             fleet.restart(balancer, event.planned());
         }
