--- a/emulator/src/main/java/baymoor/emulator/world/Clients.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Clients.java
@@ -24,8 +24,9 @@
 import org.apache.commons.rng.sampling.distribution.SharedStateDiscreteSampler;
 
 /**
- * The clients of all zones, and the front that deals out their connections: open-loop arrivals that wait for nothing,
- * popular keys after Zipf, tries that are given up, one retry at the most, connections that are kept and used again.
+ * Generates the client traffic of all zones: open-loop Poisson arrivals, keys of Zipf popularity, attempts with a
+ * timeout, at most one retry per request, and persistent connections. Also models the front-end load balancer that
+ * assigns connections to balancers. Runs on the thread of the platform's timers.
  */
 public final class Clients implements Fleet.Watcher {
 
@@ -45,12 +46,14 @@
     private final Zone[] zones;
     private final boolean[] knownReady;
     private final int[] generations;
-    /** Told to end and not ready again since. */
+    /** Balancers that were told to stop and have not become ready since. */
     private final boolean[] stopping;
-    /** Clock times from which requests are counted, and after which none is asked. */
+    /** Clock time in microseconds from which requests are counted. */
     private long measurementStart;
 
+    /** Clock time in microseconds from which no request is sent. */
     private long arrivalsEnd;
+
     private double loadFactor = 1;
     private double oneOffShare;
     private double hotKeyShare;
@@ -79,7 +82,7 @@
         }
     }
 
-    /** Begins to ask. */
+    /** Starts the arrivals of all zones. */
     public void start() {
         measurementStart = zones[0].time.now() + scenario.warmUpMicros();
         arrivalsEnd = measurementStart + scenario.durationMicros();
@@ -89,23 +92,23 @@
         }
     }
 
-    /** So many times the usual traffic from now on. */
+    /** Multiplies the arrival rate by a factor from now on. */
     public void multiplyLoad(double factor) {
         loadFactor *= factor;
     }
 
-    /** So large a share of the reads asks for keys that are wanted only once. */
+    /** Sets the share of reads whose key is requested only once, as a scan over the key space does. */
     public void setOneOffReadShare(double share) {
         oneOffShare = share;
     }
 
-    /** So large a share of the requests asks for one key, which is among none of the popular ones. */
+    /** Directs a share of the requests to one key outside the popular ones; a share of 0 ends it. */
     public void setHotKey(double share, long key) {
         hotKeyShare = share;
         hotKey = key;
     }
 
-    /** Requests that are not over yet. */
+    /** Returns the number of requests without an outcome yet. */
     public long pendingRequests() {
         return pendingRequests;
     }
@@ -132,7 +135,7 @@
         });
     }
 
-    /** The balancers that the front of a zone deals connections out to: its own, or else all. */
+    /** Returns the balancers of a zone, or all balancers if the zone has none. */
     private static List<Integer> candidateBalancers(int zone, int zoneCount, int balancerCount) {
         List<Integer> candidates = new ArrayList<>();
         for (int b = 0; b < balancerCount; b++) {
@@ -146,6 +149,7 @@
         return candidates;
     }
 
+    /** Arrivals and idle connections of one zone. */
     private final class Zone {
         private final int index;
         private final Time time;
@@ -184,7 +188,7 @@
             if (rate <= 0) {
                 return;
             }
-            // From arrival to arrival as drawn, not from when the timer ran: a held-up thread must not thin the load.
+            // Counts from the previous arrival, not from the timer's run: a delayed thread must not lower the load.
             nextArrivalAt += Math.max(1, (long) Math.ceil(Draw.exponential(random) / rate * 1e6));
             time.after(nextArrivalAt - time.now(), () -> {
                 if (nextArrivalAt < arrivalsEnd) {
@@ -194,7 +198,7 @@
             });
         }
 
-        /** A balancer that the front holds for running, at random, or any where it holds none for that. */
+        /** Returns a random balancer that the front end considers ready, or any balancer if there is none. */
         int chooseBalancer() {
             int start = random.nextInt(candidates.size());
             for (int i = 0; i < candidates.size(); i++) {
@@ -207,7 +211,7 @@
         }
     }
 
-    /** One request of a client, through all its tries. */
+    /** A request of a client, including its retry. */
     private final class Request {
         private final Zone zone;
         private final RequestClass requestClass;
@@ -261,7 +265,12 @@
             tally.ended(arrivedAt - measurementStart, outcome, zone.time.now() - arrivedAt, worth());
         }
 
-        /** This try came to nothing: once, where its class allows it, the client may try again. */
+        /**
+         * Retries the request at most once, with the configured probability, if running it again is safe; otherwise
+         * ends it with the outcome.
+         *
+         * @param retryAfterMicros the balancer's retry hint, 0 if it gave none
+         */
         void attemptFailed(Tally.End outcome, long retryAfterMicros) {
             boolean allowed = requestClass.effect() != Effect.UNSAFE
                     || outcome == Tally.End.REFUSED
@@ -278,7 +287,7 @@
         }
     }
 
-    /** One try of a request, under an id of its own. */
+    /** One attempt of a request, with its own request id. */
     private final class ClientAttempt {
         private final Request request;
         private final Zone zone;
@@ -412,35 +421,38 @@
             }
         }
 
-        /** The connection ended under it. */
+        /**
+         * Handles the end of the connection before the answer: resends the request if it crossed the close of an idle
+         * connection, and otherwise reports it as lost.
+         *
+         * @param reused whether the connection had answered an earlier request
+         */
         void connectionLost(Link link, boolean reused) {
             Tracked.Ending ending = link instanceof Tracked t ? t.ending() : null;
             boolean closedByBalancer = ending == null
                     || ending == Tracked.Ending.BY_OTHER_SIDE
                     || ending == Tracked.Ending.OTHER_SIDE_DIED;
-            // Where the network doesn't tell, what ends so soon after the request has crossed it. Seen: at a planned
-            // restart
-            // the balancer closes what rests, has never seen the request, and was blamed for it.
+            // On sockets the cause of a close is unknown. A balancer that closes idle connections at a planned restart
+            // may never have read the request, so a close within the platform's slack counts as crossing it.
             boolean crossedClose = ending == null
                     ? zone.time.now() - sentAt <= platform.slackMicros()
                     : !delivered && ending == Tracked.Ending.BY_OTHER_SIDE;
-            // Nor does the network tell whether it ran. Seen: a killed balancer had sent an unsafe one on, and it ran
-            // twice.
+            // Nor is it known on sockets whether the request ran: resending an unsafe one could run it twice.
             boolean safeToResend = ending != null || request.requestClass.effect() != Effect.UNSAFE;
             if (reused && !resent && crossedClose && safeToResend && zone.time.now() < deadline) {
-                resent = true; // it crossed the end of an idle connection: once more on a new one
+                resent = true;
                 start();
                 return;
             }
             finish();
-            // A connection may also lie unaccepted in the queue of a listener that closes: the process never had it.
+            // The connection may also have been in the accept queue of a listener that closed.
             boolean maybeUnaccepted = ending == null && crossedClose && (reused || stopping[connection.balancer]);
             judge.lost(id, sent && closedByBalancer && !maybeUnaccepted);
             request.attemptFailed(sent ? Tally.End.LOST : Tally.End.UNREACHED, 0);
         }
     }
 
-    /** One connection of the clients' to a balancer: one try at a time. */
+    /** A connection from a client to a balancer; carries one attempt at a time. */
     private final class Connection implements LinkEvents {
         private final Zone zone;
         private final int balancer;
@@ -475,7 +487,7 @@
         @Override
         public void received(byte[] bytes) {
             if (closed) {
-                return; // given up already: on sockets an answer may still come in, and is nobody's
+                return; // on sockets an answer may still arrive after the attempt timed out
             }
             reader.feed(bytes);
             try {
@@ -500,7 +512,7 @@
             }
         }
 
-        /** An answer that nobody asked for: one too many for the last try, and the end of this connection. */
+        /** Reports an unsolicited answer as a second answer to the last attempt and closes the connection. */
         private void unsolicitedAnswer(Resp answer) {
             if (lastAttemptId != null) {
                 judge.answered(
--- a/emulator/src/test/java/baymoor/emulator/world/ClientsOnSocketsTest.java
+++ b/emulator/src/test/java/baymoor/emulator/world/ClientsOnSocketsTest.java
@@ -22,7 +22,7 @@
 import java.util.List;
 import org.junit.Test;
 
-/** Clients where the network doesn't tell how a connection ended, and one balancer that the test speaks for. */
+/** Clients on a platform that does not report why a connection ended, as with sockets; the test plays the balancer. */
 public class ClientsOnSocketsTest {
 
     private static final long SLACK_MICROS = 50_000;
@@ -32,7 +32,7 @@
     private final List<ClientLink> links = new ArrayList<>();
     private Clients clients;
 
-    /** A connection of a client's; it tells the client of nothing by itself. */
+    /** A client's connection, whose events the test triggers. */
     private static final class ClientLink extends RecordingLink {
         private LinkEvents client;
 
@@ -42,7 +42,7 @@
             client.written();
         }
 
-        /** How many requests have come by it. */
+        /** Returns the number of requests written to this connection. */
         int requestCount() {
             return out.toString().split("OBJ\\.[GS]ET", -1).length - 1;
         }
@@ -151,7 +151,7 @@
         clients.start();
     }
 
-    /** Waits for a line's next request. */
+    /** Advances time until an open connection has carried more than the given number of requests. */
     private ClientLink awaitRequest(int requestsBefore) {
         if (clients == null) {
             start("safe");
@@ -167,10 +167,10 @@
             }
             time.pass(1_000);
         }
-        throw new AssertionError("nothing was asked");
+        throw new AssertionError("no request was sent");
     }
 
-    /** A connection that was used, and carries its second request. */
+    /** Returns a connection that was answered once and carries its second request. */
     private ClientLink awaitReusedConnection() {
         awaitRequest(0).answerBusy();
         return awaitRequest(1);
@@ -186,7 +186,7 @@
         assertEquals(List.of(), violations);
     }
 
-    /** Seen: a balancer was killed 50 ms after it had sent an unsafe request on; the client sent it again, and it ran twice. */
+    /** A killed balancer may have forwarded the unsafe request already, so that resending it would run it twice. */
     @Test
     public void doesNotResendUnsafeRequestWhenIdleConnectionClosesConcurrently() {
         start("unsafe");
@@ -196,7 +196,7 @@
         reused.closeFromBalancer();
         links.stream().filter(l -> l != reused && !l.closed).forEach(l -> l.client.opened());
         assertTrue(links.stream().filter(l -> l != reused).noneMatch(l -> l.out.indexOf(id) >= 0));
-        assertEquals("nobody knows whether it was taken", List.of(), violations);
+        assertEquals("whether the balancer received it is unknown", List.of(), violations);
     }
 
     @Test
@@ -214,7 +214,7 @@
         assertEquals(Rule.ONE_ANSWER, violations.get(0).rule());
     }
 
-    /** Seen in a demo: at a planned restart a listener closed with a connection in its queue, 11 ms after the request. */
+    /** At a planned restart a listener may close with connections in its accept queue. */
     @Test
     public void toleratesUnacceptedConnectionOnlyWhileBalancerStops() {
         start("safe");
@@ -224,17 +224,17 @@
         ClientLink accepted = awaitRequest(0);
         time.pass(SLACK_MICROS + 1_000);
         accepted.closeFromBalancer();
-        assertEquals("taken for sure by now", 1, violations.size());
+        assertEquals("after the slack the balancer must have received it", 1, violations.size());
         clients.ready(0);
         awaitRequest(0).closeFromBalancer();
-        assertEquals("runs again", 2, violations.size());
+        assertEquals("the balancer is ready again", 2, violations.size());
     }
 
     @Test
     public void ignoresAnswerAfterClientTimeout() {
         ClientLink reused = awaitReusedConnection();
         time.pass(1_700_000);
-        assertTrue("given up", reused.closed);
+        assertTrue("closed after the timeout", reused.closed);
         int violationsBefore = violations.size();
         reused.answerBusy();
         assertEquals(violationsBefore, violations.size());
