--- a/emulator/src/main/java/baymoor/emulator/scenario/BadScenario.java
+++ b/emulator/src/main/java/baymoor/emulator/scenario/BadScenario.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** A scenario file with mistakes, all of them. */
+/** Thrown for an invalid scenario file, with all of its mistakes. */
 public final class BadScenario extends Exception {
 
     private static final long serialVersionUID = 1;
@@ -14,7 +14,7 @@
         this.mistakes = List.copyOf(mistakes);
     }
 
-    /** The mistakes in the order in which they were found. */
+    /** Returns the mistakes in the order in which they were found. */
     public List<Mistake> mistakes() {
         return mistakes;
     }
--- a/emulator/src/main/java/baymoor/emulator/scenario/Quantity.java
+++ b/emulator/src/main/java/baymoor/emulator/scenario/Quantity.java
@@ -6,7 +6,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Reads a number with its unit. A number without one is an error that names the units there are. */
+/** Parses numbers with a unit. A missing or unknown unit is an error that lists the valid ones. */
 final class Quantity {
 
     private static final Pattern QUANTITY_PATTERN = Pattern.compile("\\s*([0-9]+(?:\\.[0-9]+)?)\\s*([A-Za-z%/]*)\\s*");
@@ -28,7 +28,7 @@
         PER_SECOND_BY_UNIT.put("/m", 1.0 / 60);
     }
 
-    /** What a quantity is of. */
+    /** Dimension of a quantity, with the factors of its units. */
     enum Kind {
         TIME(MICROS_BY_UNIT, "a time", "800ms"),
         SIZE(BYTES_BY_UNIT, "a size", "64KiB"),
@@ -46,7 +46,7 @@
         }
     }
 
-    /** What is wrong with a quantity; the text goes behind the field's name. */
+    /** Invalid quantity; the message follows the field's name. */
     static final class InvalidQuantityException extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -57,7 +57,7 @@
 
     private Quantity() {}
 
-    /** In microseconds, bytes, events a second, or as a share of 1. */
+    /** Returns a quantity in microseconds, bytes, events per second, or as a share from 0 to 1. */
     static double parse(String text, Kind kind) throws InvalidQuantityException {
         Matcher matcher = QUANTITY_PATTERN.matcher(text);
         if (!matcher.matches()) {
@@ -75,12 +75,13 @@
                     .findFirst()
                     .map(u -> "; did you mean \"" + matcher.group(1) + u + "\"?")
                     .orElse("");
-            throw new InvalidQuantityException("\"" + text + "\" has the unit " + unit + ", which is none of "
+            throw new InvalidQuantityException("\"" + text + "\" has the unknown unit " + unit + "; write one of "
                     + String.join(", ", kind.factors.keySet()) + suggestion);
         }
         return Double.parseDouble(matcher.group(1)) * factor;
     }
 
+    /** Returns the exception for a number without a unit. */
     static InvalidQuantityException missingUnit(String number, Kind kind) {
         return new InvalidQuantityException(String.format(
                 Locale.ROOT,
--- a/emulator/src/main/java/baymoor/emulator/scenario/Scenario.java
+++ b/emulator/src/main/java/baymoor/emulator/scenario/Scenario.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * A world and what happens in it: fleet, traffic, and a script of troubles. All times are microseconds, all rates a
- * second, all sizes bytes. Read from a file by {@link ScenarioReader}.
+ * A simulated deployment and its test run: hosts, network, traffic and a script of faults. Times are in microseconds,
+ * rates are per second, and sizes are in bytes. Immutable; {@link ScenarioReader} reads it from a file.
  */
 public record Scenario(
         String name,
@@ -34,7 +34,17 @@
         script = List.copyOf(script);
     }
 
-    /** Delays one way. {@code jitter}: mean of an exponential share on top. */
+    /**
+     * One-way network delays in microseconds.
+     *
+     * @param same           within a zone
+     * @param cross          between two zones
+     * @param client         between a client and a balancer
+     * @param jitter         mean of an exponentially distributed extra delay, as a fraction of the delay
+     * @param datagram       delay of a datagram between balancers
+     * @param datagramLoss   probability that a datagram is lost
+     * @param datagramDouble probability that a datagram is delivered twice
+     */
     public record Net(
             long same,
             Span cross,
@@ -45,15 +55,19 @@
             double datagramDouble) {}
 
     /**
-     * @param count       over all zones, dealt out in turn
-     * @param startMicros from the start of a process to its listening
-     * @param eventMicros processor time for each event
-     * @param sockets     descriptors that each may hold
+     * The balancers and what they may use.
+     *
+     * @param count       balancers in all zones together, assigned to the zones round-robin
+     * @param startMicros time from the start of a process until it listens
+     * @param eventMicros processor time per event
+     * @param sockets     socket limit of each balancer
+     * @param peers       whether balancers exchange datagrams
+     * @param probes      whether balancers may probe routers
      */
     public record Balancers(
             int count, long startMicros, long eventMicros, int sockets, boolean peers, boolean probes) {}
 
-    /** What a router does with a request whose time is up while it waits. */
+    /** What a router does with a queued request whose deadline has passed; {@code EITHER} chooses at random. */
     public enum Expired {
         BEGIN,
         DROP,
@@ -61,9 +75,26 @@
     }
 
     /**
-     * Routers of one kind. {@code speed}: of a core, against the core that work is stated for. {@code slots}: in work
-     * at a time for each core; {@code room}: waiting, for each core. More in work than {@code crowd} for each core
-     * costs the share {@code thrash} of the speed for each one more.
+     * Routers of one kind.
+     *
+     * @param speed           speed of a core, relative to the core for which work is stated
+     * @param speedSpread     standard deviation of the speed between routers, as a fraction of it
+     * @param slots           requests in service at a time, per core
+     * @param room            queue length, per core
+     * @param thrash          fraction by which each request in service beyond {@code crowd} slows the router down
+     * @param crowd           requests in service per core up to which the router runs at full speed
+     * @param memory          cache size in bytes
+     * @param ttlMicros       lifetime of a cached object
+     * @param coldShare       fraction of its capacity that a router has when it starts
+     * @param coldMicros      time from the start until a router has its full capacity
+     * @param warmsByWork     whether serving requests shortens that time
+     * @param connections     connection limit of each router
+     * @param handshakeMicros work added to the first request on a connection
+     * @param idleMicros      time after which the router closes an idle connection
+     * @param missMicros      work of answering a cache miss
+     * @param errorRate       probability that a request fails
+     * @param pause           length of a process pause, such as a garbage collection
+     * @param pauseEvery      time between two pauses
      */
     public record RouterKind(
             String name,
@@ -90,9 +121,17 @@
             Span pauseEvery) {}
 
     /**
-     * The origin. {@code capacity}: requests a second; {@code slots}: in work at a time; {@code sigma}: of the
-     * log-normal service time. Sent {@code fallMultiple} times its capacity for {@code fallMicros} it stops for
-     * {@code downMicros}.
+     * The origin.
+     *
+     * @param capacity     requests per second
+     * @param slots        requests in service at a time
+     * @param room         queue length
+     * @param sigma        standard deviation of the logarithm of the log-normal service time
+     * @param errorRate    probability that a request fails
+     * @param fallMultiple multiple of the capacity that makes the origin fail
+     * @param fallMicros   time for which that load has to last
+     * @param downMicros   outage after such a failure
+     * @param mostFalls    maximum number of failures in a run
      */
     public record Origin(
             double capacity,
@@ -106,13 +145,20 @@
             int mostFalls) {}
 
     /**
-     * Discovery. {@code notice}: until it knows that a process ended or drains; {@code silent}: until it knows of one
-     * that fell silent; {@code add}: of a new one; {@code spread}: until a change is written to a watch; a call costs
-     * {@code callMicros} and {@code lineMicros} for each entry, and fails after waiting {@code timeoutMicros}, or where it
-     * would have to and it fails {@code atOnce}, which costs {@code failedMicros}. A balancer starts with the list as it is, or
-     * {@code startsAsHeld}, with the one that was written to it last. While it is down it takes no connections, or
-     * {@code busyWhenDown}, answers each call as it does where there are too many. Where
-     * lists are {@code pushed}, an agent on each balancer's machine has them {@code spread} later and answers at once.
+     * The discovery service. It works off calls one after another.
+     *
+     * @param pushed        whether an agent on each balancer's machine receives the list and answers in its place
+     * @param notice        time until it detects that a process ended or drains
+     * @param silent        time until it detects that a process stopped responding
+     * @param add           time until it lists a new process
+     * @param spread        time until a change reaches a watch or an agent
+     * @param callMicros    service time of a call
+     * @param lineMicros    service time of a call per entry of the list
+     * @param timeoutMicros queueing time beyond which a call fails
+     * @param failedMicros  service time of a failed call
+     * @param atOnce        whether a call that would time out fails immediately
+     * @param startsAsHeld  whether a balancer starts with the list last written to it, not with the current one
+     * @param busyWhenDown  whether the service rejects calls while it is down, instead of refusing connections
      */
     public record Discovery(
             boolean pushed,
@@ -129,10 +175,19 @@
             boolean busyWhenDown) {}
 
     /**
-     * Open-loop traffic. {@code zoneShares}: of the zones in their order; {@code wave}: swing of a slow sine with the
-     * period {@code wavePeriodMicros}. A client retries with chance {@code retry}, after {@code backoff}; gives a try
-     * up after {@code tryShare} of its class's time; {@code impatient}: share that leaves early. The front goes on
-     * sending to a dead balancer for {@code frontNotice}.
+     * Open-loop traffic.
+     *
+     * @param rate             mean arrivals per second
+     * @param zoneShares       share of each zone, in the order of the zones
+     * @param wave             amplitude of a sine that modulates the rate, as a fraction of it
+     * @param wavePeriodMicros period of that sine
+     * @param retry            probability that a client retries
+     * @param backoff          delay before a retry
+     * @param honour           probability that a client waits as long as the balancer's retry hint says
+     * @param leastTry         minimum timeout of an attempt, as a fraction of the class's time limit
+     * @param mostTry          maximum timeout of an attempt, as a fraction of the class's time limit
+     * @param impatient        probability that a client closes the connection before the timeout
+     * @param frontNotice      time until the front-end load balancer detects that a balancer ended
      */
     public record Traffic(
             double rate,
@@ -151,14 +206,27 @@
         }
     }
 
-    /** Whether a request of a class may run twice. */
+    /**
+     * Whether a request may run twice: {@code SAFE} always, {@code KEYED} is deduplicated by its idempotency key,
+     * {@code UNSAFE} never.
+     */
     public enum Effect {
         SAFE,
         KEYED,
         UNSAFE
     }
 
-    /** A class of requests; {@code write}: goes to the origin and voids the copies of its key. */
+    /**
+     * A class of requests.
+     *
+     * @param share        share of all requests
+     * @param write        whether it goes to the origin and invalidates the cached copies of its key
+     * @param work         processor time on a core of speed 1
+     * @param aimMicros    time within which an answer is in time
+     * @param giveUpMicros time after which a client gives up
+     * @param windowMicros time for which an idempotency key is remembered
+     * @param worth        weight of a request in the score
+     */
     public record RequestClass(
             String name,
             double share,
@@ -174,14 +242,34 @@
     public record Tenant(String name, double share) {}
 
     /**
-     * Keys: {@code count} of them, popular after Zipf with {@code exponent}; in a second {@code drift} of the popular
-     * ones are replaced by new ones; {@code changes}: of keys a second at the origin. {@code prefill}: whether routers
-     * hold what is popular when the run begins.
+     * The keys that clients request.
+     *
+     * @param count     number of keys
+     * @param exponent  exponent of the Zipf distribution of their popularity
+     * @param drift     fraction of the popular keys that new ones replace per second
+     * @param changes   keys changed at the origin per second
+     * @param size      mean size of a value in bytes
+     * @param sizeSigma standard deviation of the logarithm of the size
+     * @param prefill   whether routers hold the popular keys when the run begins
      */
     public record Keys(
             int count, double exponent, double drift, double changes, long size, double sizeSigma, boolean prefill) {}
 
-    /** The figures of the rules, as the settings give them to a balancer. */
+    /**
+     * Limits that the balancers have to keep, as their settings state them.
+     *
+     * @param maxAttempts         attempts per request
+     * @param connectMicros       timeout of a connection attempt
+     * @param answerSlackMicros   time after the deadline within which a request has to be answered
+     * @param drainGraceMicros    time after the notice of a drain in which a router may still be sent requests
+     * @param askWithinMicros     time within which a balancer has to ask discovery for the list
+     * @param tipMultiple         multiple of its present capacity at which a router fails
+     * @param tipMicros           time over which that load is measured
+     * @param maxRetryAfterMicros longest retry hint
+     * @param retryAfter          whether a refusal carries a retry hint
+     * @param mayCancel           whether an attempt may be cancelled
+     * @param reports             how routers report their load
+     */
     public record Figures(
             int maxAttempts,
             long connectMicros,
@@ -196,10 +284,16 @@
             Reports reports) {}
 
     /**
-     * What a balancer is told beside the request itself, and what it is granted. {@code work}, {@code sizes},
-     * {@code retries}: whether requests carry their work, their value's size and whether they come again;
-     * {@code byWork}: whether worth counts by work; {@code cpuMicros}: processor time for decisions in a second;
-     * {@code streams}: requests that a connection may carry at a time.
+     * The request attributes that balancers see, and their budgets.
+     *
+     * @param work                whether requests carry an estimate of their work
+     * @param sizes               whether requests carry the size of their value
+     * @param retries             whether retries are marked as such
+     * @param byWork              whether the worth of a request is multiplied by its work
+     * @param overShare           weight of requests beyond a tenant's share
+     * @param cpuMicros           processor time for decisions per second
+     * @param cpuPerRequestMicros processor time for decisions per request, in addition
+     * @param streams             concurrent requests per connection
      */
     public record ModuleSettings(
             boolean work,
@@ -211,14 +305,14 @@
             double cpuPerRequestMicros,
             int streams) {}
 
-    /** How routers report their load: not at all, with every answer, or when they are asked. */
+    /** How routers report their load: not at all, with every answer, or in reply to a probe. */
     public enum Reports {
         OFF,
         INLINE,
         ON_PROBE
     }
 
-    /** What can happen to the world. */
+    /** Scripted faults and load changes. */
     public enum EventKind {
         SURGE,
         SCAN,
@@ -244,7 +338,7 @@
         HOT_KEY
     }
 
-    /** How a bad router spoils its answers. */
+    /** How a faulty router corrupts its answers. */
     public enum Spoil {
         GARBLE,
         CUT_SHORT,
@@ -255,8 +349,18 @@
     }
 
     /**
-     * One act of the script: {@code count} of its objects (chosen by the seed, or {@code zone}'s), for a time, by a
-     * factor or a share. {@code withinMicros}: spread over so long; {@code atOnce}: so large a share at a time.
+     * An event of the script. Which fields apply depends on its kind.
+     *
+     * @param atMicros     time from the end of the warm-up
+     * @param forMicros    duration
+     * @param factor       multiple of the load or of the service time
+     * @param share        share of the requests or hosts affected
+     * @param count        number of hosts affected, chosen by the seed
+     * @param zone         zone affected, empty for all
+     * @param withinMicros time over which restarts are spread
+     * @param atOnce       share of the hosts that may be down at a time
+     * @param planned      whether a process is told to stop before a restart
+     * @param line         line of the file at which the event is defined
      */
     public record ScriptedEvent(
             EventKind what,
@@ -272,7 +376,7 @@
             boolean planned,
             int line) {}
 
-    /** Routers of all kinds together. */
+    /** Returns the number of routers of all kinds. */
     public int routerCount() {
         return routers.stream().mapToInt(RouterKind::count).sum();
     }
--- a/emulator/src/main/java/baymoor/emulator/scenario/ScenarioReader.java
+++ b/emulator/src/main/java/baymoor/emulator/scenario/ScenarioReader.java
@@ -30,8 +30,8 @@
 import org.tomlj.TomlParseResult;
 
 /**
- * Reads a scenario from TOML. What a file leaves out is as at a site of four data centres with 4 balancers, 12 routers
- * and one slow origin; {@code docs/operators/emulator.md} has the table of all fields.
+ * Reads scenarios from TOML. Absent fields default to a site of four zones with 4 balancers, 12 routers and one slow
+ * origin; {@code docs/operators/emulator.md} lists all fields.
  */
 public final class ScenarioReader {
 
@@ -43,7 +43,7 @@
     private static final Pattern UNQUOTED_QUANTITY =
             Pattern.compile("^\\s*([A-Za-z_]+)\\s*=\\s*([0-9.]+\\s*(?:us|ms|s|m|h|B|KiB|MiB|GiB|/s|%))\\s*(?:#.*)?$");
 
-    /** Acts without a time of their own to last: they happen at once, or bring their own times. */
+    /** Events that need no duration. */
     private static final Set<EventKind> INSTANTANEOUS =
             EnumSet.of(EventKind.RESTART_BALANCERS, EventKind.REPLACE_ROUTER, EventKind.FLUSH);
 
@@ -51,7 +51,11 @@
 
     private ScenarioReader() {}
 
-    /** Reads a scenario file. */
+    /**
+     * Reads a scenario file.
+     *
+     * @throws BadScenario if the file is unreadable or invalid
+     */
     public static Scenario read(Path file) throws BadScenario {
         try {
             return parse(Files.readString(file), file.toString());
@@ -60,7 +64,12 @@
         }
     }
 
-    /** @param file its name, for messages */
+    /**
+     * Parses the text of a scenario.
+     *
+     * @param file name of the file, for messages and as the default name of the scenario
+     * @throws BadScenario if the text is invalid
+     */
     public static Scenario parse(String text, String file) throws BadScenario {
         ScenarioReader reader = new ScenarioReader();
         TomlParseResult parsed = Toml.parse(text);
@@ -79,21 +88,25 @@
         return scenario;
     }
 
-    /** A scenario that the program itself has written, where a mistake is the program's. */
+    /**
+     * Parses a scenario that the program generated.
+     *
+     * @throws IllegalStateException if the text is invalid, which is a bug
+     */
     public static Scenario own(String text, String name) {
         try {
             return parse(text, name);
         } catch (BadScenario e) {
-            throw new IllegalStateException("a scenario of our own making is bad: " + e.getMessage(), e);
+            throw new IllegalStateException("generated scenario is invalid: " + e.getMessage(), e);
         }
     }
 
-    /** What the parser says of a quantity without quotes is true but tells nobody what to write. */
+    /** Returns the parser's message, or for a quantity without quotes one that shows the quoted form. */
     private static String explainSyntaxError(String text, int line, String message) {
         String sourceLine = text.lines().skip(Math.max(0, line - 1)).findFirst().orElse("");
         Matcher match = UNQUOTED_QUANTITY.matcher(sourceLine);
         return match.matches()
-                ? match.group(1) + " = " + match.group(2).trim() + ": a quantity stands in quotes; write "
+                ? match.group(1) + " = " + match.group(2).trim() + ": a quantity must be in quotes; write "
                         + match.group(1) + " = \"" + match.group(2).trim() + "\""
                 : "not TOML: " + message;
     }
@@ -114,7 +127,7 @@
         }
         List<String> zones = top.texts("zones", List.of("vancouver", "kamloops", "kelowna", "prince-george"));
         if (zones.isEmpty()) {
-            top.mistake("zones", "names no zone");
+            top.mistake("zones", "is empty");
             zones = List.of("a");
         }
         Scenario scenario = new Scenario(
@@ -184,7 +197,7 @@
             top.mistake("routers", "are over " + MAX_ROUTERS);
         }
         if (kinds.stream().anyMatch(k -> k.name().equals("origin"))) {
-            top.mistake("routers", "have a kind named origin, which is the origin's");
+            top.mistake("routers", "have a kind named origin, which is reserved for the origin");
         }
         return kinds;
     }
@@ -310,7 +323,7 @@
                     table.time("window", 0),
                     table.number("worth", 0, 1000, 1));
             if (effect == Effect.KEYED && requestClass.windowMicros() == 0) {
-                table.mistake("window", "is missing: a keyed class has a time in which a repeat is dropped");
+                table.mistake("window", "is missing: a keyed class needs a time for which its keys are remembered");
             }
             if (requestClass.giveUpMicros() < requestClass.aimMicros()) {
                 table.mistake("give_up", "is before aim");
@@ -374,7 +387,7 @@
 
     private static void checkShareSum(Table top, String field, double sum) {
         if (Math.abs(sum - 1) > 0.001) {
-            top.mistake(field, "have shares that make " + Math.round(sum * 1000) / 10.0 + "% instead of 100%");
+            top.mistake(field, "have shares that sum to " + Math.round(sum * 1000) / 10.0 + "% instead of 100%");
         }
     }
 
@@ -437,7 +450,7 @@
                 table.mistake("zone", "= \"" + zone + "\" is none of " + String.join(", ", zones));
             }
             if (kind == EventKind.CUT && zone.isEmpty()) {
-                table.mistake("zone", "is missing: it is the zone that is cut off from the others");
+                table.mistake("zone", "is missing: name the zone to cut off from the others");
             }
             double factor = table.number("factor", 0, 1000, 2);
             if ((kind == EventKind.SURGE
@@ -445,7 +458,7 @@
                             || kind == EventKind.SLOW_ROUTER
                             || kind == EventKind.DISCOVERY_SLOW)
                     && !table.has("factor")) {
-                table.mistake("factor", "is missing: how many times more, or slower");
+                table.mistake("factor", "is missing: state the multiple of the load or of the service time");
             }
             Spoil spoil = table.word("spoil", Spoil.class, Spoil.GARBLE);
             events.add(new ScriptedEvent(
--- a/emulator/src/main/java/baymoor/emulator/scenario/Span.java
+++ b/emulator/src/main/java/baymoor/emulator/scenario/Span.java
@@ -1,19 +1,19 @@
 package baymoor.emulator.scenario;
 
-/** From the least to the most, both in the same unit (microseconds or bytes). A fixed quantity has both equal. */
+/** Closed range in one unit (microseconds or bytes). A fixed quantity has equal bounds. */
 public record Span(long least, long most) {
 
-    /** A fixed quantity. */
+    /** Returns a range that contains one value. */
     public static Span of(long fixed) {
         return new Span(fixed, fixed);
     }
 
-    /** Halfway between the least and the most. */
+    /** Returns the midpoint, rounded down. */
     public long middle() {
         return (least + most) / 2;
     }
 
-    /** The same with a factor on both ends. */
+    /** Returns the range with both bounds multiplied by a factor. */
     public Span times(double factor) {
         return new Span((long) (least * factor), (long) (most * factor));
     }
--- a/emulator/src/main/java/baymoor/emulator/scenario/Table.java
+++ b/emulator/src/main/java/baymoor/emulator/scenario/Table.java
@@ -14,12 +14,12 @@
 import org.tomlj.TomlTable;
 
 /**
- * One table of a TOML file, read field by field. What is wrong is noted with its place and the reading goes on with the
- * value for an absent field, so that one look at a file names all its mistakes; {@link #end} notes what nobody asked for.
+ * Typed access to one table of a TOML file. An invalid field is recorded as a {@link Mistake} with its position and read
+ * as its default, so that one pass reports all mistakes of a file. {@link #end} reports unknown fields. Not thread-safe.
  */
 public final class Table {
 
-    /** Up to two letters wrong. */
+    /** Distance within which an unknown field counts as a misspelling of a known one. */
     private static final LevenshteinDistance TYPO_DISTANCE = new LevenshteinDistance(2);
 
     private final TomlTable table;
@@ -28,6 +28,13 @@
     private final List<Mistake> mistakes;
     private final Set<String> knownFields = new LinkedHashSet<>();
 
+    /**
+     * Creates the view of a table.
+     *
+     * @param path     prefix of the field names in messages, empty for the top level
+     * @param position where the table begins, or null
+     * @param mistakes list to which mistakes are added
+     */
     public Table(TomlTable table, String path, TomlPosition position, List<Mistake> mistakes) {
         this.table = table;
         this.path = path;
@@ -35,12 +42,12 @@
         this.mistakes = mistakes;
     }
 
-    /** The line at which the table begins, 0 where there is none. */
+    /** Returns the line at which the table begins, or 0 if it has none. */
     public int line() {
         return position == null ? 0 : position.line();
     }
 
-    /** Whether a field stands in the table. */
+    /** Returns whether the table contains a field. */
     public boolean has(String field) {
         knownFields.add(field);
         return table.contains(List.of(field));
@@ -51,7 +58,7 @@
         return table.get(List.of(field));
     }
 
-    /** Notes a mistake at a field. */
+    /** Records a mistake at a field, or at the table's beginning if the field is absent. */
     public void mistake(String field, String problem) {
         TomlPosition fieldPosition = table.contains(List.of(field)) ? table.inputPositionOf(List.of(field)) : position;
         mistakes.add(new Mistake(
@@ -60,7 +67,7 @@
                 path + field + " " + problem));
     }
 
-    /** A table within, empty where there is none. */
+    /** Returns a nested table, empty if it is absent. */
     public Table table(String field) {
         Object value = get(field);
         if (value != null && !(value instanceof TomlTable)) {
@@ -74,7 +81,7 @@
                 mistakes);
     }
 
-    /** An array of tables, empty where there is none. */
+    /** Returns an array of tables, empty if it is absent. */
     public List<Table> tables(String field) {
         Object value = get(field);
         List<Table> values = new ArrayList<>();
@@ -89,7 +96,7 @@
         return values;
     }
 
-    /** A list of texts. */
+    /** Returns a list of strings. */
     public List<String> texts(String field, List<String> defaultValue) {
         Object value = get(field);
         if (value == null) {
@@ -101,16 +108,20 @@
                 if (array.get(i) instanceof String text) {
                     values.add(text);
                 } else {
-                    mistake(field, "holds something that is not text");
+                    mistake(field, "contains a value that is not a string");
                 }
             }
         } else {
-            mistake(field, "is not a list of texts");
+            mistake(field, "is not a list of strings");
         }
         return values;
     }
 
-    /** A text; without {@code absent} it has to be there. */
+    /**
+     * Returns a string.
+     *
+     * @param defaultValue value if the field is absent, or null if it is required
+     */
     public String text(String field, String defaultValue) {
         Object value = get(field);
         if (value == null || value instanceof String) {
@@ -119,21 +130,21 @@
             }
             return value == null ? defaultValue : (String) value;
         }
-        mistake(field, "is not text");
+        mistake(field, "is not a string");
         return defaultValue;
     }
 
-    /** True or false. */
+    /** Returns a boolean. */
     public boolean flag(String field, boolean defaultValue) {
         Object value = get(field);
         if (value != null && !(value instanceof Boolean)) {
-            mistake(field, "is neither true nor false");
+            mistake(field, "is not a boolean");
             return defaultValue;
         }
         return value == null ? defaultValue : (Boolean) value;
     }
 
-    /** A whole number of things from {@code least} on. */
+    /** Returns an integer of at least {@code min}. */
     public long whole(String field, long min, long defaultValue) {
         Object value = get(field);
         if (value == null) {
@@ -150,7 +161,7 @@
         return number;
     }
 
-    /** A number without a unit, between two bounds: factors and exponents. */
+    /** Returns a number without a unit from {@code min} to {@code max}. */
     public double number(String field, double min, double max, double defaultValue) {
         Object value = get(field);
         if (value == null) {
@@ -195,12 +206,12 @@
         return value == null ? defaultValue : quantity(field, kind, value, defaultValue);
     }
 
-    /** Microseconds. */
+    /** Returns a time in microseconds. */
     public long time(String field, long defaultValue) {
         return Math.round(quantity(field, Kind.TIME, defaultValue));
     }
 
-    /** Microseconds, which must be stated. */
+    /** Returns the time of a required field in microseconds. */
     public long time(String field) {
         if (!has(field)) {
             mistake(field, "is missing");
@@ -208,22 +219,22 @@
         return time(field, 0);
     }
 
-    /** Bytes. */
+    /** Returns a size in bytes. */
     public long size(String field, long defaultValue) {
         return Math.round(quantity(field, Kind.SIZE, defaultValue));
     }
 
-    /** Events a second. */
+    /** Returns a rate per second. */
     public double rate(String field, double defaultValue) {
         return quantity(field, Kind.RATE, defaultValue);
     }
 
-    /** A share of 1, written as {@code "25%"}. */
+    /** Returns a share from 0 to 1, written as {@code "25%"}. */
     public double share(String field, double defaultValue) {
         return checkRange(field, quantity(field, Kind.SHARE, defaultValue), 0, 1, defaultValue);
     }
 
-    /** A list of shares of 1. */
+    /** Returns a list of shares from 0 to 1. */
     public List<Double> shares(String field, List<Double> defaultValue) {
         Object value = get(field);
         if (value == null) {
@@ -240,7 +251,7 @@
         return values;
     }
 
-    /** One time, or a list of the least and the most. */
+    /** Returns a range of times in microseconds, written as one time or as a list of minimum and maximum. */
     public Span times(String field, Span defaultValue) {
         Object value = get(field);
         if (value == null) {
@@ -248,13 +259,13 @@
         }
         if (value instanceof TomlArray array) {
             if (array.size() != 2) {
-                mistake(field, "has " + array.size() + " times instead of the least and the most");
+                mistake(field, "has " + array.size() + " times instead of a minimum and a maximum");
                 return defaultValue;
             }
             long min = Math.round(quantity(field, Kind.TIME, array.get(0), 0));
             long max = Math.round(quantity(field, Kind.TIME, array.get(1), min));
             if (max < min) {
-                mistake(field, "has its least above its most");
+                mistake(field, "has a minimum above its maximum");
                 return defaultValue;
             }
             return new Span(min, max);
@@ -262,7 +273,11 @@
         return Span.of(Math.round(quantity(field, Kind.TIME, value, defaultValue.least())));
     }
 
-    /** One of the words of an enumeration, written in small letters with hyphens. */
+    /**
+     * Returns an enum constant, written in lower case with hyphens.
+     *
+     * @param defaultValue value if the field is absent, or null if it is required
+     */
     public <E extends Enum<E>> E word(String field, Class<E> type, E defaultValue) {
         String text = text(field, defaultValue == null ? null : word(defaultValue));
         for (E constant : type.getEnumConstants()) {
@@ -282,7 +297,7 @@
         return constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    /** Notes every field that nobody asked for, with the nearest one that there is. */
+    /** Reports every field that was never read as unknown, with a similar known one if there is any. */
     public void end() {
         for (String field : table.keySet()) {
             if (!knownFields.contains(field)) {
--- a/emulator/src/test/java/baymoor/emulator/scenario/ScenarioReaderTest.java
+++ b/emulator/src/test/java/baymoor/emulator/scenario/ScenarioReaderTest.java
@@ -11,7 +11,7 @@
 import java.util.stream.Stream;
 import org.junit.Test;
 
-/** What a file may say, and what is said of one that is wrong. */
+/** Defaults and units of scenario files, and the messages for invalid ones. */
 public class ScenarioReaderTest {
 
     private static List<String> mistakes(String text) {
@@ -125,7 +125,7 @@
                 [[tenants]]
                 name = "a"
                 share = "60%"
-                """).get(0).contains("tenants have shares that make 60.0%"));
+                """).get(0).contains("tenants have shares that sum to 60.0%"));
     }
 
     @Test
