--- a/emulator/src/main/java/baymoor/emulator/scenario/ScenarioReader.java
+++ b/emulator/src/main/java/baymoor/emulator/scenario/ScenarioReader.java
@@ -35,8 +35,11 @@
  */
 public final class ScenarioReader {
 
-    private static final long MICROS_PER_MS = 1_000;
-    private static final long MICROS_PER_SECOND = 1_000_000;
+    /** Microseconds per millisecond. */
+    private static final long MS = 1_000;
+    /** Microseconds per second. */
+    private static final long SECOND = 1_000_000;
+
     private static final int MAX_BALANCERS = 1_000;
     private static final int MAX_ROUTERS = 5_000;
     private static final double UNBOUNDED = 1e9;
@@ -120,9 +123,9 @@
         String name = top.text("name", file);
         String about = top.text("about", "");
         long seed = top.whole("seed", 0, 1);
-        long warmUp = top.time("warm_up", 10 * MICROS_PER_SECOND);
-        long duration = top.time("duration", 60 * MICROS_PER_SECOND);
-        if (duration < MICROS_PER_SECOND) {
+        long warmUp = top.time("warm_up", 10 * SECOND);
+        long duration = top.time("duration", 60 * SECOND);
+        if (duration < SECOND) {
             top.mistake("duration", "is under a second");
         }
         List<String> zones = top.texts("zones", List.of("vancouver", "kamloops", "kelowna", "prince-george"));
@@ -159,7 +162,7 @@
                 table.times("cross_zone", new Span(5_600, 10_000)),
                 table.time("client", 700),
                 table.number("jitter", 0, 10, 0.2),
-                table.times("datagram", new Span(MICROS_PER_MS, 20 * MICROS_PER_MS)),
+                table.times("datagram", new Span(MS, 20 * MS)),
                 table.share("datagram_loss", 0.01),
                 table.share("datagram_double", 0.005));
         table.end();
@@ -173,7 +176,7 @@
         }
         Balancers balancers = new Balancers(
                 count,
-                table.time("start", MICROS_PER_SECOND),
+                table.time("start", SECOND),
                 table.time("event", 30),
                 (int) table.whole("sockets", 128, 1024),
                 table.flag("peers", true),
@@ -230,16 +233,16 @@
                 table.size("memory", 16L << 20),
                 table.time("ttl", 0),
                 table.share("cold_share", 0.2),
-                table.times("cold", new Span(11 * MICROS_PER_SECOND, 23 * MICROS_PER_SECOND)),
+                table.times("cold", new Span(11 * SECOND, 23 * SECOND)),
                 table.flag("warms_by_work", false),
                 (int) table.whole("connections", 1, 1500),
-                table.time("handshake", 3 * MICROS_PER_MS),
-                table.time("idle_close", 30 * MICROS_PER_SECOND),
-                table.time("miss", MICROS_PER_MS),
+                table.time("handshake", 3 * MS),
+                table.time("idle_close", 30 * SECOND),
+                table.time("miss", MS),
                 table.share("errors", 0.001),
                 table.word("expired", Expired.class, Expired.EITHER),
-                table.times("pause", new Span(0, 60 * MICROS_PER_MS)),
-                table.times("pause_every", new Span(5 * MICROS_PER_SECOND, 12 * MICROS_PER_SECOND)));
+                table.times("pause", new Span(0, 60 * MS)),
+                table.times("pause_every", new Span(5 * SECOND, 12 * SECOND)));
     }
 
     private Origin readOrigin(Table table) {
@@ -250,8 +253,8 @@
                 table.number("sigma", 0, 3, 0.4),
                 table.share("errors", 0.001),
                 table.number("fall_multiple", 1, 1000, 2.5),
-                table.time("fall", 3 * MICROS_PER_SECOND),
-                table.times("down", new Span(3 * MICROS_PER_SECOND, 6 * MICROS_PER_SECOND)),
+                table.time("fall", 3 * SECOND),
+                table.times("down", new Span(3 * SECOND, 6 * SECOND)),
                 (int) table.whole("most_falls", 0, 2));
         if (origin.capacity() <= 0) {
             table.mistake("capacity", "is 0");
@@ -263,13 +266,13 @@
     private Discovery readDiscovery(Table table) {
         Discovery discovery = new Discovery(
                 table.flag("pushed", false),
-                table.times("notice", new Span(MICROS_PER_SECOND, 3_800 * MICROS_PER_MS)),
-                table.times("silent", new Span(4_500 * MICROS_PER_MS, 12 * MICROS_PER_SECOND)),
-                table.times("add", new Span(300 * MICROS_PER_MS, 2 * MICROS_PER_SECOND)),
-                table.times("spread", new Span(25 * MICROS_PER_MS, 1_300 * MICROS_PER_MS)),
-                table.time("call", 20 * MICROS_PER_MS),
-                table.time("line", MICROS_PER_MS),
-                table.time("patience", 2 * MICROS_PER_SECOND),
+                table.times("notice", new Span(SECOND, 3_800 * MS)),
+                table.times("silent", new Span(4_500 * MS, 12 * SECOND)),
+                table.times("add", new Span(300 * MS, 2 * SECOND)),
+                table.times("spread", new Span(25 * MS, 1_300 * MS)),
+                table.time("call", 20 * MS),
+                table.time("line", MS),
+                table.time("patience", 2 * SECOND),
                 table.time("failed", 0),
                 table.flag("at_once", false),
                 table.flag("starts_as_held", false),
@@ -292,14 +295,14 @@
                 table.rate("rate", 170),
                 shares,
                 table.share("wave", 0.2),
-                table.time("wave_period", 20 * MICROS_PER_SECOND),
+                table.time("wave_period", 20 * SECOND),
                 table.share("retry", 0.5),
-                table.times("backoff", new Span(30 * MICROS_PER_MS, 240 * MICROS_PER_MS)),
+                table.times("backoff", new Span(30 * MS, 240 * MS)),
                 table.share("honour", 0.9),
                 table.share("least_try", 0.7),
                 table.share("most_try", 1),
                 table.share("impatient", 0.02),
-                table.times("front_notice", new Span(950 * MICROS_PER_MS, 3_300 * MICROS_PER_MS)));
+                table.times("front_notice", new Span(950 * MS, 3_300 * MS)));
         if (traffic.rate() <= 0) {
             table.mistake("rate", "is 0");
         }
@@ -317,7 +320,7 @@
                     table.share("share", 1),
                     effect,
                     table.flag("write", effect != Effect.SAFE),
-                    table.times("work", new Span(97 * MICROS_PER_MS, 170 * MICROS_PER_MS)),
+                    table.times("work", new Span(97 * MS, 170 * MS)),
                     table.time("aim"),
                     table.time("give_up"),
                     table.time("window", 0),
@@ -333,23 +336,15 @@
         }
         if (tables.isEmpty()) {
             classes.add(new RequestClass(
-                    "map-read",
-                    0.969,
-                    Effect.SAFE,
-                    false,
-                    new Span(97 * MICROS_PER_MS, 170 * MICROS_PER_MS),
-                    800 * MICROS_PER_MS,
-                    1_500 * MICROS_PER_MS,
-                    0,
-                    1));
+                    "map-read", 0.969, Effect.SAFE, false, new Span(97 * MS, 170 * MS), 800 * MS, 1_500 * MS, 0, 1));
             classes.add(new RequestClass(
                     "search-order",
                     0.019,
                     Effect.UNSAFE,
                     true,
-                    new Span(100 * MICROS_PER_MS, 190 * MICROS_PER_MS),
-                    750 * MICROS_PER_MS,
-                    1_500 * MICROS_PER_MS,
+                    new Span(100 * MS, 190 * MS),
+                    750 * MS,
+                    1_500 * MS,
                     0,
                     2));
             classes.add(new RequestClass(
@@ -357,10 +352,10 @@
                     0.012,
                     Effect.KEYED,
                     true,
-                    new Span(130 * MICROS_PER_MS, 240 * MICROS_PER_MS),
-                    1_200 * MICROS_PER_MS,
-                    5 * MICROS_PER_SECOND,
-                    25 * MICROS_PER_SECOND,
+                    new Span(130 * MS, 240 * MS),
+                    1_200 * MS,
+                    5 * SECOND,
+                    25 * SECOND,
                     2));
         }
         checkShareSum(
@@ -407,13 +402,13 @@
     private Figures readFigures(Table table) {
         Figures figures = new Figures(
                 (int) table.whole("max_attempts", 1, 5),
-                table.time("connect", 250 * MICROS_PER_MS),
-                table.time("answer_slack", 20 * MICROS_PER_MS),
-                table.time("drain_grace", 500 * MICROS_PER_MS),
-                table.time("ask_within", 10 * MICROS_PER_SECOND),
+                table.time("connect", 250 * MS),
+                table.time("answer_slack", 20 * MS),
+                table.time("drain_grace", 500 * MS),
+                table.time("ask_within", 10 * SECOND),
                 table.number("tip_multiple", 1, UNBOUNDED, 3),
-                table.time("tip", 3 * MICROS_PER_SECOND),
-                table.time("max_retry_after", 2 * MICROS_PER_SECOND),
+                table.time("tip", 3 * SECOND),
+                table.time("max_retry_after", 2 * SECOND),
                 table.flag("retry_after", true),
                 table.flag("may_cancel", true),
                 table.word("reports", Scenario.Reports.class, Scenario.Reports.OFF));
@@ -428,7 +423,7 @@
                 table.flag("retries", true),
                 table.flag("by_work", true),
                 table.share("over_share", 0.1),
-                table.time("cpu", 400 * MICROS_PER_MS),
+                table.time("cpu", 400 * MS),
                 table.number("cpu_per_request", 0, UNBOUNDED, 0),
                 (int) table.whole("streams", 1, 32));
         table.end();
