--- a/emulator/src/main/java/baymoor/emulator/world/Acceptor.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Acceptor.java
@@ -3,13 +3,15 @@
 import baymoor.link.Link;
 import baymoor.link.LinkEvents;
 
-/** Takes the connections that come in at an address. */
+/** Accepts the incoming connections of an address. */
 @FunctionalInterface
 public interface Acceptor {
 
     /**
-     * @param balancer number of the balancer that the connection is from, -1 for clients and others
-     * @return the state machine of the connection, or null to close it unheard
+     * Accepts or rejects a connection.
+     *
+     * @param balancer number of the balancer that opened the connection, -1 for clients and others
+     * @return the handler of the connection's events, or null to close the connection
      */
     LinkEvents accept(Link link, int balancer);
 }
--- a/emulator/src/main/java/baymoor/emulator/world/Arrivals.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Arrivals.java
@@ -2,7 +2,7 @@
 
 import baymoor.emulator.judge.Judge;
 
-/** What hosts tell the judge of the attempts that come to them, where nothing watches the balancers' connections. */
+/** Reports the attempts that reach hosts to the judge, on platforms that do not observe the balancers' connections. */
 final class Arrivals {
 
     private final Judge judge;
@@ -14,18 +14,19 @@
         this.reporting = reporting;
     }
 
-    /** A number for a new connection. */
+    /** Returns the number of a new connection. */
     long connection() {
         return ++lastConnection;
     }
 
-    /** A whole command has come in. */
+    /** Reports a completely received command. */
     void came(String id, int balancer, String host, long connection) {
         if (reporting) {
             judge.attemptSent(id, balancer, host, connection);
         }
     }
 
+    /** Reports the end of a connection. */
     void closed(long connection) {
         if (reporting) {
             judge.attemptClosed(connection);
--- a/emulator/src/main/java/baymoor/emulator/world/BalancerConfig.java
+++ b/emulator/src/main/java/baymoor/emulator/world/BalancerConfig.java
@@ -8,9 +8,10 @@
 import java.util.HexFormat;
 import java.util.Locale;
 
-/** Writes the configuration of a balancer of a scenario, in the form that the serving program reads. */
+/** Writes the JSON configuration with which a balancer of a scenario starts. */
 public final class BalancerConfig {
 
+    /** Part of the routers' capacity that the tenants' quotas add up to. */
     private static final double QUOTA_SHARE_OF_CAPACITY = 0.85;
 
     private BalancerConfig() {}
@@ -20,9 +21,9 @@
     }
 
     /**
-     * The configuration of a balancer as it should start now.
+     * Returns the configuration of a balancer that starts now.
      *
-     * @param seed of this start, new with each
+     * @param seed random seed, a new one for each start
      */
     public static String json(Scenario scenario, Platform platform, World world, int balancer, long seed) {
         ObjectNode config = Listing.JSON.createObjectNode();
@@ -175,7 +176,7 @@
                 .put("waste", 0.08);
     }
 
-    /** Requests a second that the routers can serve when all are warm. */
+    /** Returns the requests per second that all routers can serve after their warm-up. */
     private static double capacityPerSecond(Scenario scenario) {
         double cores = scenario.routers().stream()
                 .mapToDouble(k -> k.count() * k.cores() * k.speed())
--- a/emulator/src/main/java/baymoor/emulator/world/Conversation.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Conversation.java
@@ -2,16 +2,16 @@
 
 import baymoor.link.LinkEvents;
 
-/** One connection to a host: the other side speaks first, and nothing turns on when what was said has left. */
+/** Connection of a host that waits for the peer's first bytes and ignores completed writes. */
 abstract class Conversation implements LinkEvents {
 
     @Override
     public final void opened() {
-        // The other side speaks first.
+        // The peer sends first.
     }
 
     @Override
     public final void written() {
-        // Nothing turns on it.
+        // Completed writes are not tracked.
     }
 }
--- a/emulator/src/main/java/baymoor/emulator/world/Facts.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Facts.java
@@ -1,11 +1,11 @@
 package baymoor.emulator.world;
 
-/** The list of names and values that a request carries, as a stand-in needs it: one value by its name. */
+/** Looks up attributes in the comma-separated {@code name=value} list of a request. */
 final class Facts {
 
     private Facts() {}
 
-    /** The value behind a name, or null. */
+    /** Returns the value of an attribute, or null if it is absent. */
     static String get(String attributes, String name) {
         int position = 0;
         while (position < attributes.length()) {
@@ -21,6 +21,7 @@
         return null;
     }
 
+    /** Returns the integer value of an attribute, or the default if it is absent or not an integer. */
     static long number(String attributes, String name, long defaultValue) {
         String text = get(attributes, name);
         try {
--- a/emulator/src/main/java/baymoor/emulator/world/HttpRequests.java
+++ b/emulator/src/main/java/baymoor/emulator/world/HttpRequests.java
@@ -8,16 +8,25 @@
 import java.util.Map;
 
 /**
- * Takes HTTP/1.1 requests in any pieces, as far as a stand-in needs it: a length or no body, no chunks (RFC 9112,
- * sections 3 to 6). Lines, headers and bodies are bounded.
+ * Incremental parser of HTTP/1.1 requests (RFC 9112, sections 3 to 6). Supports bodies with a Content-Length but not
+ * chunked ones; lines, headers and bodies are limited in size. Not thread-safe.
  */
 final class HttpRequests {
 
-    /** A request: its method, its target as sent, headers by their names in small letters, and its body. */
+    /**
+     * A request.
+     *
+     * @param target  request target as sent
+     * @param headers values by lower-case header name
+     * @param body    body, empty if there is none
+     */
     record Request(String method, String target, Map<String, String> headers, byte[] body) {}
 
+    /** Longest request or header line in bytes. */
     private static final int MAX_LINE_LENGTH = 8192;
+
     private static final int MAX_HEADERS = 100;
+    /** Longest body in bytes. */
     private static final int MAX_BODY_LENGTH = 64 * 1024;
 
     private final StringBuilder line = new StringBuilder();
@@ -28,6 +37,7 @@
     private Map<String, String> headers = new HashMap<>();
     private int contentLength = -1;
 
+    /** Adds received bytes. */
     void feed(byte[] input) {
         byte[] joined = new byte[buffer.length - position + input.length];
         System.arraycopy(buffer, position, joined, 0, buffer.length - position);
@@ -36,7 +46,11 @@
         position = 0;
     }
 
-    /** The next whole request, or null if more bytes are needed. */
+    /**
+     * Returns the next complete request, or null if more bytes are needed.
+     *
+     * @throws HttpException if the request is malformed, too large or not supported
+     */
     Request next() throws HttpException {
         while (position < buffer.length || contentLength == 0) {
             if (contentLength >= 0) {
@@ -70,7 +84,7 @@
 
     private void parseLine(String text) throws HttpException {
         if (requestLine == null) {
-            if (!text.isEmpty()) { // an empty line before a request is passed over
+            if (!text.isEmpty()) { // RFC 9112, section 2.2: ignores empty lines before the request line
                 requestLine = text.split(" ");
                 if (requestLine.length != 3 || !requestLine[2].equals("HTTP/1.1")) {
                     throw new HttpException("not an HTTP/1.1 request line");
@@ -80,10 +94,10 @@
             try {
                 contentLength = Integer.parseInt(headers.getOrDefault("content-length", "0"));
             } catch (NumberFormatException e) {
-                throw new HttpException("length is not a number");
+                throw new HttpException("Content-Length is not a number");
             }
             if (contentLength < 0 || contentLength > MAX_BODY_LENGTH || headers.containsKey("transfer-encoding")) {
-                throw new HttpException("body not taken");
+                throw new HttpException("body is too large or chunked");
             }
         } else {
             int colonIndex = text.indexOf(':');
@@ -96,7 +110,11 @@
         }
     }
 
-    /** A response with a stated length. {@code extraHeaders}: further header lines, each with its line end. */
+    /**
+     * Returns a response with a Content-Length.
+     *
+     * @param extraHeaders further header lines, each with its line end
+     */
     static byte[] response(int status, String reason, String extraHeaders, byte[] body) {
         byte[] head = ("HTTP/1.1 " + status + " " + reason + "\r\nContent-Length: " + body.length + "\r\n"
                         + extraHeaders + "\r\n")
--- a/emulator/src/main/java/baymoor/emulator/world/Platform.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Platform.java
@@ -5,44 +5,48 @@
 import java.net.InetSocketAddress;
 
 /**
- * What carries a world: virtual time, or sockets on loopback. A place is a number for an address, at which one host
- * after another may listen.
+ * Network, clock and timers of an emulated deployment: in virtual time, or with sockets on the loopback interface. A
+ * place is the number of an address, at which different hosts may listen one after another.
  */
 public interface Platform extends DiscoveryService.Reach {
 
-    /** The clock and timers of a host. */
+    /** Returns the clock and timers of a host. */
     Time time(String host, int zone);
 
-    /** Lets a host listen at a place. */
+    /** Accepts connections at a place on behalf of a host. */
     void listen(int place, String host, int zone, Acceptor acceptor);
 
-    /** Lets a host listen at a place that only one balancer knows of, on its own machine. */
+    /** Accepts connections at a place on a balancer's machine, which only that balancer uses. */
     void listenBeside(int balancer, int place, String host, int zone, Acceptor acceptor);
 
-    /** Nobody listens at a place any more; {@code silently}: the machine is gone without a word. */
+    /**
+     * Stops accepting connections at a place.
+     *
+     * @param silently whether the machine disappears without closing its connections
+     */
     void stopListening(int place, boolean silently);
 
-    /** Opens connections as the clients of a zone do. */
+    /** Returns the dialer of the clients of a zone. */
     Dialer clients(int zone);
 
-    /** Where a balancer listens to clients. */
+    /** Returns the address at which a balancer accepts clients. */
     InetSocketAddress balancer(int number);
 
-    /** Where a balancer listens to the others, as one of them knows it. */
+    /** Returns the address of a balancer's datagram socket, as the balancer {@code seenBy} has to use it. */
     InetSocketAddress peer(int number, int seenBy);
 
-    /** The address that reaches all balancers, or null where each has to be told by itself. */
+    /** Returns the address that reaches all balancers, or null if each has to be sent its own datagram. */
     InetSocketAddress everyone();
 
-    /** Whether hosts have to tell the judge what comes to them, since nothing watches the balancers' connections. */
+    /** Returns whether hosts have to report attempts, as the platform does not observe the balancers' connections. */
     boolean hostsTell();
 
-    /** How much later than it happened this platform may see something. */
+    /** Returns the maximum delay in microseconds with which this platform observes an event. */
     long slackMicros();
 
-    /** Cuts a zone off from the others, or joins it again. */
+    /** Partitions a zone from the others, or ends the partition. */
     void cut(int zone, boolean cut);
 
-    /** Loses so large a share of the datagrams between balancers. */
+    /** Sets the share of datagrams between balancers that are lost. */
     void loseDatagrams(double share);
 }
--- a/emulator/src/main/java/baymoor/emulator/world/Tracked.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Tracked.java
@@ -2,16 +2,16 @@
 
 import baymoor.link.Link;
 
-/** A connection of a driver that knows more of it than a socket tells. */
+/** A link that also reports delivery and the cause of its end, which a socket cannot. */
 public interface Tracked extends Link {
 
-    /** As {@link Link#write}; {@code delivered} runs when the other side's process has taken the last byte in. */
+    /** Queues bytes as {@link Link#write} does; {@code delivered} runs once the peer process has received all. */
     void write(byte[] bytes, Runnable delivered);
 
-    /** Why the connection ended, once it has. */
+    /** Returns why the connection ended, or {@code OPEN}. */
     Ending ending();
 
-    /** Who ended a connection. */
+    /** Cause of the end of a connection. */
     enum Ending {
         OPEN,
         BY_THIS_SIDE,
--- a/emulator/src/main/java/baymoor/emulator/world/World.java
+++ b/emulator/src/main/java/baymoor/emulator/world/World.java
@@ -19,11 +19,14 @@
 import java.util.function.BiConsumer;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** All of a scenario but its balancers: routers, origin, discovery and clients, and the script that befalls them. */
+/**
+ * Everything of a scenario except the balancers: routers, origin, discovery and clients. Executes the scenario's script.
+ * Not thread-safe; all calls have to come from the thread that runs the platform's timers.
+ */
 public final class World {
 
     private static final long RESTART_RETRY_MICROS = 200_000;
-    /** Of the longest time that a client waits: past it nothing more can come. */
+    /** Multiple of the longest client timeout after which a run ends even if requests are pending. */
     private static final int END_WAIT_FACTOR = 4;
 
     private final Scenario scenario;
@@ -41,13 +44,17 @@
     private final Origin origin;
     private final DiscoveryService discovery;
     private final Clients clients;
-    /** When each zone was cut off, -1 while it is not. */
+    /** Time at which each zone was partitioned, -1 while it is not. */
     private final long[] cutSince;
 
     private long startedAt;
     private Fleet fleet;
 
-    /** @param eventSink hears what the script does: the act, and to whom */
+    /**
+     * Creates the hosts and clients of a scenario; none of them listens or sends before {@link #open}.
+     *
+     * @param eventSink receives each event of the script: its name, and the host or zone that it affects
+     */
     public World(
             Scenario scenario,
             Platform platform,
@@ -112,44 +119,44 @@
         discovery.changed(entry, sign);
     }
 
-    /** The place at which the origin listens. */
+    /** Returns the place at which the origin listens. */
     public int originPlace() {
         return routers.count();
     }
 
-    /** Where a balancer calls for the list: the service, or where lists are pushed the agent beside it. */
+    /** Returns the place at which a balancer queries discovery: the service, or its local agent if lists are pushed. */
     public int discoveryPlace(int balancer) {
         return routers.count() + 1 + (scenario.discovery().pushed() ? 1 + balancer : 0);
     }
 
-    /** The host that is at a place, or was last; null where it takes no requests. */
+    /** Returns the host that listens at a place, or was the last to do so; null if the place serves no requests. */
     public String hostAt(int place) {
         return place == originPlace()
                 ? Origin.NAME
                 : place >= 0 && place < routers.count() ? routers.nameAt(place) : null;
     }
 
-    /** The clients of this world. */
+    /** Returns the clients. */
     public Clients clients() {
         return clients;
     }
 
-    /** The list as a balancer that starts now last held it. */
+    /** Returns the list with which a balancer that starts now is configured. */
     public Collection<Entry> listed(int balancer) {
         return discovery.listedFor(balancer);
     }
 
-    /** The version of the list that a balancer that starts now last held. */
+    /** Returns the version of the list with which a balancer that starts now is configured. */
     public long index(int balancer) {
         return discovery.indexFor(balancer);
     }
 
-    /** A balancer's process starts, with the present list in its configuration. */
+    /** Records that a balancer's process starts and received the list in its configuration. */
     public void starts(int balancer) {
         discovery.given(balancer);
     }
 
-    /** Lets all hosts listen, with what they would hold in service; the balancers may start now. */
+    /** Starts all hosts, with the cache contents of a running service. Balancers may start after this call. */
     public void open(Fleet balancers) {
         fleet = balancers;
         routers.open(discovery::begin);
@@ -166,14 +173,17 @@
     private void openAgents() {
         for (int b = 0; b < fleet.count(); b++) {
             int zone = b % scenario.zones().size();
-            // The service is in the first zone: cut off from that, an agent hears nothing and tells nothing.
+            // The service is in the first zone; an agent that is partitioned from it receives and answers nothing.
             int balancer = b;
             Agent agent = discovery.agent(b, () -> cutOffSince(balancer) < 0);
             platform.listenBeside(b, discoveryPlace(b), "agent-" + b, zone, (link, from) -> agent.accept(link));
         }
     }
 
-    /** Since when a balancer is cut off from the first zone, where origin and discovery are; -1 if it is not. */
+    /**
+     * Returns the time at which a balancer was partitioned from the first zone, which holds origin and discovery, or -1
+     * if it is not partitioned.
+     */
     private long cutOffSince(int balancer) {
         int zone = balancer % scenario.zones().size();
         return zone == 0
@@ -183,7 +193,7 @@
                         : Math.min(cutSince[0], cutSince[zone]);
     }
 
-    /** Lets the clients ask and the script begin. */
+    /** Starts the clients and schedules the script. */
     public void begin() {
         startedAt = time.now();
         clients.start();
@@ -199,12 +209,12 @@
         return startedAt + scenario.warmUpMicros() + scenario.durationMicros();
     }
 
-    /** Whether clients still begin requests. */
+    /** Returns whether clients still send new requests. */
     public boolean asking() {
         return time.now() < arrivalsEnd();
     }
 
-    /** Whether all that was asked is over, or long past its time. */
+    /** Returns whether the run is over: all requests have ended, or their timeouts have long passed. */
     public boolean over() {
         long longest = scenario.classes().stream()
                 .mapToLong(Scenario.RequestClass::giveUpMicros)
@@ -276,7 +286,7 @@
             }
             case DISCOVERY_DOWN -> {
                 discovery.down();
-                // An agent stays where it is, and falls silent; a service may be up in front and know nothing.
+                // An agent keeps listening without answering; a busy service keeps listening to reject calls.
                 boolean keepsListening =
                         scenario.discovery().pushed() || scenario.discovery().busyWhenDown();
                 if (!keepsListening) {
@@ -315,7 +325,7 @@
         return balancers;
     }
 
-    /** So large a share of the balancers, one after another, never more of them down than are allowed at once. */
+    /** Schedules a rolling restart of a share of the balancers, within the limit of balancers down at a time. */
     private void restartBalancers(ScriptedEvent event) {
         List<Integer> balancers = shuffledBalancers();
         int restarts = (int) Math.ceil(event.share() * balancers.size());
