--- a/emulator/src/main/java/baymoor/emulator/scenario/ScenarioReader.java
+++ b/emulator/src/main/java/baymoor/emulator/scenario/ScenarioReader.java
@@ -42,7 +42,9 @@
 
     private static final int MAX_BALANCERS = 1_000;
     private static final int MAX_ROUTERS = 5_000;
+    /** Upper bound of numbers that have no natural one. */
     private static final double UNBOUNDED = 1e9;
+    /** A field whose quantity lacks its quotes, such as {@code duration = 60s}. */
     private static final Pattern UNQUOTED_QUANTITY =
             Pattern.compile("^\\s*([A-Za-z_]+)\\s*=\\s*([0-9.]+\\s*(?:us|ms|s|m|h|B|KiB|MiB|GiB|/s|%))\\s*(?:#.*)?$");
 
--- a/emulator/src/main/java/baymoor/emulator/world/Clients.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Clients.java
@@ -30,9 +30,13 @@
  */
 public final class Clients implements Fleet.Watcher {
 
+    /** Time until the front-end load balancer detects that a balancer is ready. */
     private static final long READY_DETECTION_MICROS = 100_000;
+    /** Part of an attempt's timeout after which an impatient client leaves, at least and at most. */
     private static final double MIN_ABANDON_FRACTION = 0.2;
+
     private static final double MAX_ABANDON_FRACTION = 0.7;
+    /** Maximum relative error of the work estimate that a request carries. */
     private static final double WORK_HINT_ERROR = 0.1;
 
     private final Scenario scenario;
@@ -44,14 +48,16 @@
     private final double[] classShares;
     private final double[] tenantShares;
     private final Zone[] zones;
+    /** Balancers that the front-end load balancer considers ready. */
     private final boolean[] knownReady;
+    /** Number of changes of each balancer's state, by which outdated detections are recognised. */
     private final int[] generations;
     /** Balancers that were told to stop and have not become ready since. */
     private final boolean[] stopping;
     /** Clock time in microseconds from which requests are counted. */
     private long measurementStart;
 
-    /** Clock time in microseconds from which no request is sent. */
+    /** Clock time in microseconds from which no new request arrives. */
     private long arrivalsEnd;
 
     private double loadFactor = 1;
