--- a/emulator/src/main/java/baymoor/emulator/world/Arrivals.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Arrivals.java
@@ -2,32 +2,33 @@
 
 import baymoor.emulator.judge.Judge;
 
-/** What hosts tell the judge of the attempts that come to them, where nothing watches the balancers' connections. */
+/** Reports the attempts that reach hosts to the judge, on platforms that do not observe the balancers' connections. */
 final class Arrivals {
 
     private final Judge judge;
-    private final boolean tell;
-    private long connections;
+    private final boolean reporting;
+    private long lastConnection;
 
-    Arrivals(Judge judge, boolean tell) {
+    Arrivals(Judge judge, boolean reporting) {
         this.judge = judge;
-        this.tell = tell;
+        this.reporting = reporting;
     }
 
-    /** A number for a new connection. */
+    /** Returns the number of a new connection. */
     long connection() {
-        return ++connections;
+        return ++lastConnection;
     }
 
-    /** A whole command has come in. */
+    /** Reports a completely received command. */
     void came(String id, int balancer, String host, long connection) {
-        if (tell) {
+        if (reporting) {
             judge.attemptSent(id, balancer, host, connection);
         }
     }
 
+    /** Reports the end of a connection. */
     void closed(long connection) {
-        if (tell) {
+        if (reporting) {
             judge.attemptClosed(connection);
         }
     }
