--- a/tier/src/main/java/baymoor/tier/exchange/DatagramSender.java
+++ b/tier/src/main/java/baymoor/tier/exchange/DatagramSender.java
@@ -1,9 +1,9 @@
 package baymoor.tier.exchange;
 
-/** Takes datagrams to other balancers; what can't be sent is lost like any datagram. */
+/** Sends datagrams to other balancers without delivery guarantees. */
 @FunctionalInterface
 public interface DatagramSender {
 
-    /** Sends to a balancer by its number. */
+    /** Sends a datagram to the balancer with the given number; a failure to send is treated as loss. */
     void send(int balancer, byte[] datagram);
 }
--- a/tier/src/main/java/baymoor/tier/exchange/Exchange.java
+++ b/tier/src/main/java/baymoor/tier/exchange/Exchange.java
@@ -16,17 +16,17 @@
 import java.util.function.Function;
 
 /**
- * A balancer's side of the exchange in groups: a state machine that is fed datagrams and the time of the machine's clock.
- * It speaks once an epoch at each level where it speaks for a child: always for itself in its site, and for each group whose
- * lease it holds, in the group above.
+ * One balancer's endpoint of the hierarchical exchange: a state machine driven by datagrams and clock readings. It sends one
+ * message per epoch at each level where it represents a child: for itself in its site, and, for each group whose lease it
+ * holds, in the group above. Not thread-safe: all calls must come from one thread.
  */
 public final class Exchange {
 
-    /** The part of the allowance that each balancer has by its number among all, whatever it hears. */
+    /** The fraction of the allowance that is divided evenly among all balancers, whether or not they are reachable. */
     public static final double GUARANTEED_FRACTION = 0.25;
 
     private static final int NEVER = Integer.MIN_VALUE / 2;
-    /** Epochs without a lease after which a balancer forgets what it knew as its holder. */
+    /** Epochs after losing a lease for which a balancer keeps its state at the levels above. */
     private static final int STATE_RETENTION_EPOCHS = 2;
 
     private final Places places;
@@ -45,9 +45,11 @@
     private Totals ownTotals = new Totals(1, 0, 0, 1, 0, 0, 0, 0, 0, 0);
 
     /**
+     * Creates the endpoint of a balancer that has just started.
+     *
      * @param balancer this balancer's number
-     * @param seed of its random draws
-     * @param nowMicros the time of its clock; it speaks from the next epoch on, since it may have spoken in this one before
+     * @param seed the seed of its random draws
+     * @param nowMicros the time of its clock; it sends from the next epoch on, as it may have sent in this one already
      */
     public Exchange(Places places, int balancer, long seed, Timing timing, long nowMicros) {
         this(places, balancer, seed, timing, nowMicros, ShareRules::new);
@@ -85,7 +87,7 @@
         return member;
     }
 
-    /** Takes over another list of routers. */
+    /** Replaces the list of routers and discards the loads known for the previous one. */
     public void setRouters(RouterList list) {
         routers = list;
         ownLoads = new int[list.size()];
@@ -97,17 +99,17 @@
     }
 
     /**
-     * What the balancer says of itself from now on.
+     * Sets the state that this balancer reports about itself.
      *
-     * @param own figures of the last epoch, for one member
-     * @param out attempts that are out, by the list of routers
+     * @param own totals of the last epoch, for one member
+     * @param outstanding attempts in flight at each router, in the order of the list of routers
      */
     public void report(Totals own, int[] outstanding) {
         ownTotals = own;
         ownLoads = outstanding;
     }
 
-    /** When it has to be called next. */
+    /** Returns the time at which {@link #sendDue} has to be called next. */
     public long nextSendMicros() {
         long next = Long.MAX_VALUE;
         for (int level = 0; level < Level.COUNT; level++) {
@@ -126,7 +128,7 @@
                 group.children().size());
     }
 
-    /** Speaks wherever that is due. What was missed while the process stood still is not made up for. */
+    /** Sends the messages that are due at each level. Epochs missed while the process was paused are skipped. */
     public void sendDue(long nowMicros, DatagramSender out) {
         int epoch = timing.epoch(nowMicros);
         for (int level = 0; level < Level.COUNT; level++) {
@@ -157,7 +159,7 @@
         }
     }
 
-    /** Counts the votes of the level below for speaking at this one. */
+    /** Tallies the votes of the level below, which decide whether this balancer may act at the given level. */
     private VoteOutcome voteOutcome(int level, int epoch) {
         if (members[level - 1] == null) {
             return VoteOutcome.NONE;
@@ -175,7 +177,7 @@
         return outcome;
     }
 
-    /** Whether this balancer tells its siblings at a level what is outside: its word of the last epoch counts. */
+    /** Returns whether this balancer publishes a digest at a level: it claims the lease there and has state one level up. */
     private boolean publishesDigest(int level, int epoch) {
         return level + 1 < Level.COUNT && members[level + 1] != null && members[level].election.claimsLease(epoch);
     }
@@ -206,7 +208,7 @@
                 outsideReporters[level].nextReport(routers, loadsOutside(level, epoch)));
     }
 
-    /** The movable part in an epoch of the child that this balancer speaks for at a level. */
+    /** Returns the share of the dynamic allowance in an epoch of the child that this balancer represents at a level. */
     private double dynamicShare(int level, int epoch) {
         return groupDynamicShare(level, epoch) * members[level].shareOfGroup(epoch);
     }
@@ -216,7 +218,7 @@
             return 1;
         }
         double calculated = members[level + 1] == null ? 0 : dynamicShare(level + 1, epoch);
-        // Both follow from commitments alone: each is no more than what the group has.
+        // Both values are lower bounds derived from commitments, so the larger one is safe.
         return Math.max(calculated, members[level].publishedShare(epoch));
     }
 
@@ -234,7 +236,7 @@
         return above > 0 ? above : member.medianAllowanceRate(epoch);
     }
 
-    /** All balancers outside of the group at a level. */
+    /** Returns the totals of all balancers outside the group at a level. */
     private Totals totalsOutside(int level, int epoch) {
         if (Level.of(level).isTop()) {
             return Totals.NONE;
@@ -248,7 +250,7 @@
         return digest == null ? Totals.NONE : digest.outside();
     }
 
-    /** What the child at a level has out. */
+    /** Returns the attempts in flight per router of the child that this balancer represents at a level. */
     private int[] childLoads(int level, int epoch) {
         int[] counts = ownLoads.clone();
         for (int below = 0; below < level; below++) {
@@ -273,7 +275,11 @@
         return counts;
     }
 
-    /** Takes a datagram from another balancer. Whatever is wrong with it is counted, and nothing of it believed. */
+    /**
+     * Processes a datagram from another balancer, and forwards it if needed. An invalid one is counted and otherwise ignored.
+     *
+     * @param sender the number of the balancer that sent the datagram
+     */
     public void receive(long nowMicros, int sender, byte[] datagram, DatagramSender out) {
         int epoch = timing.epoch(nowMicros);
         try {
@@ -320,7 +326,7 @@
         counters.conflicting += member.receive(message) ? 0 : 1;
     }
 
-    /** A message for who speaks for this balancer's group: passed on to the holder of the lease, as far as that is known. */
+    /** Forwards a message for the representative of this balancer's group to the known holder of the lease, if any. */
     private void forward(int epoch, GroupMessage message, byte[] datagram, DatagramSender out) {
         int level = message.level().ordinal() - 1;
         while (members[level] == null) {
@@ -335,30 +341,30 @@
         out.send(members[level].representative(holder), MessageCodec.passedOn(datagram));
     }
 
-    /** This balancer's part of the whole tier's allowance now, from 0 to 1. */
+    /** Returns this balancer's current share of the tier's allowance, from 0 to 1. */
     public double allowanceShare(long nowMicros) {
         double evenShare = 1.0 / places.balancers();
         return GUARANTEED_FRACTION * evenShare + (1 - GUARANTEED_FRACTION) * dynamicShare(0, timing.epoch(nowMicros));
     }
 
-    /** The tier's allowance as far as is known, fetches a second; 0 where nobody has learned one. */
+    /** Returns the estimate of the tier's allowance in fetches per second, or 0 if none is known. */
     public double allowanceRate(long nowMicros) {
         return allowanceRate(0, timing.epoch(nowMicros));
     }
 
-    /** What all other balancers have out, by the list of routers. */
+    /** Returns the attempts that all other balancers have in flight, in the order of the list of routers. */
     public int[] remoteLoads(long nowMicros) {
         int[] counts = loadsOutside(0, timing.epoch(nowMicros));
         members[0].addSiblingLoads(timing.epoch(nowMicros), counts);
         return counts;
     }
 
-    /** Totals of all balancers but those of the own site. */
+    /** Returns the totals of all balancers outside this balancer's site. */
     public Totals totalsOutsideSite(long nowMicros) {
         return totalsOutside(0, timing.epoch(nowMicros));
     }
 
-    /** The number of leases that this balancer holds: none, its site's, its zone's too, its region's too. */
+    /** Returns the number of leases that this balancer holds, counted from its site through its zone to its region. */
     public int heldLeases(long nowMicros) {
         int epoch = timing.epoch(nowMicros);
         int leases = 0;
@@ -370,13 +376,13 @@
         return leases;
     }
 
-    /** The balancer that holds the lease of the own site as far as is known, or -1. */
+    /** Returns the known holder of the lease of this balancer's site, or -1 if there is none. */
     public int siteLeaseHolder(long nowMicros) {
         int child = members[0].election.holder(timing.epoch(nowMicros));
         return child < 0 ? -1 : members[0].representative(child);
     }
 
-    /** How often this balancer has seen two claim one lease. */
+    /** Returns how often this balancer has seen two or more children claim one lease at the same time. */
     public int conflictingClaims() {
         int sum = 0;
         for (GroupMember member : members) {
@@ -385,7 +391,7 @@
         return sum;
     }
 
-    /** Counts of what it has seen. */
+    /** Returns the counters of messages sent and received. */
     public ExchangeCounters counters() {
         return counters;
     }
--- a/tier/src/main/java/baymoor/tier/exchange/ExchangeCounters.java
+++ b/tier/src/main/java/baymoor/tier/exchange/ExchangeCounters.java
@@ -1,6 +1,6 @@
 package baymoor.tier.exchange;
 
-/** Counts of what an exchange has seen. */
+/** Counters of the messages that an exchange has sent, processed and dropped. Written by the exchange's thread. */
 public final class ExchangeCounters {
 
     long sent;
@@ -12,42 +12,42 @@
     long previousVersion;
     long conflicting;
 
-    /** Datagrams sent, those passed on included. */
+    /** Returns the number of datagrams sent, including forwarded ones. */
     public long sent() {
         return sent;
     }
 
-    /** Messages taken in. */
+    /** Returns the number of messages of the current version that were processed. */
     public long received() {
         return received;
     }
 
-    /** Datagrams of no known form. */
+    /** Returns the number of datagrams that could not be decoded. */
     public long malformed() {
         return malformed;
     }
 
-    /** Messages from a balancer that can't speak for the child that it names, or of a group that this one isn't in. */
+    /** Returns the number of messages whose sender can't represent the named child, or whose group is not this balancer's. */
     public long implausible() {
         return implausible;
     }
 
-    /** Messages that are too old, or from the future. */
+    /** Returns the number of messages dropped because their epoch was too far in the past or the future. */
     public long outsideWindow() {
         return outsideWindow;
     }
 
-    /** Messages passed on to the balancer that speaks for the child by now. */
+    /** Returns the number of messages forwarded to the current holder of a lease. */
     public long forwarded() {
         return forwarded;
     }
 
-    /** Messages of the version before. */
+    /** Returns the number of messages of the previous protocol version that were processed. */
     public long previousVersion() {
         return previousVersion;
     }
 
-    /** Messages that contradict an earlier one of the same child and epoch; such a sender is faulty. */
+    /** Returns the number of messages that contradict an earlier commitment of the same child and epoch: a faulty sender. */
     public long conflicting() {
         return conflicting;
     }
--- a/tier/src/main/java/baymoor/tier/exchange/GroupMember.java
+++ b/tier/src/main/java/baymoor/tier/exchange/GroupMember.java
@@ -17,13 +17,16 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** One child of one group, as the balancer that speaks for it: hears its siblings, and says what it commits itself to. */
+/**
+ * The state that a balancer keeps as the representative of one child of a group: what its siblings last sent, the lease of the
+ * group, and the child's own commitments. Not thread-safe; used by {@link Exchange} only.
+ */
 final class GroupMember {
 
     private static final int NEVER = Integer.MIN_VALUE / 2;
     private static final Commitment EMPTY_COMMITMENT = new Commitment(0, new int[Places.LARGEST_GROUP]);
 
-    /** A sibling as last heard. */
+    /** The state of a sibling according to its last message. */
     private static final class Sibling {
         int epoch = NEVER;
         int representative = Digest.UNKNOWN;
@@ -77,7 +80,7 @@
         }
     }
 
-    /** Takes over another list of routers; loads are told anew. */
+    /** Replaces the list of routers and discards all loads known for the previous one. */
     void setRouters(RouterList list) {
         routers = list;
         outsideLoads = new int[list.size()];
@@ -91,12 +94,12 @@
     }
 
     /**
-     * Speaks in an epoch, once.
+     * Creates the child's message of an epoch and records the commitment in it. Must be called at most once per epoch.
      *
-     * @param outcome what the balancer may do for its child in this epoch
-     * @param totals of the child
-     * @param loads of the child, by the list of routers
-     * @param outgoingDigest what to tell as the group's holder, or null
+     * @param outcome the votes of the child's own group, which decide whether the balancer may commit the child
+     * @param totals the child's totals
+     * @param loads the child's attempts in flight, in the order of the list of routers
+     * @param outgoingDigest the digest to publish as holder of the group's lease, or null
      */
     GroupMessage createMessage(int epoch, VoteOutcome outcome, Totals totals, int[] loads, Digest outgoingDigest) {
         ownTotals = totals.withDraw(draws.next());
@@ -133,7 +136,7 @@
         return bits;
     }
 
-    /** The gifts made in an epoch, for a later one: none where it isn't known that the base is held then. */
+    /** Returns the units transferred to each sibling; none unless the child is sure to own its base in the target epoch. */
     private int[] transfers(int epoch) {
         int targetEpoch = epoch + Timing.transferLead(level());
         if (!rules.ownsBase(log, self, targetEpoch - Timing.acknowledgeLead(level()))) {
@@ -148,7 +151,7 @@
             childDraws[child] = totals.draw();
             hasDemand |= isFresh(child, epoch) && totals.queued() + totals.fetched() > 0;
         }
-        // With no miss anywhere each has its even share.
+        // Without any demand every child keeps its base.
         return hasDemand ? rules.transfers(self, weights, childDraws) : new int[Places.LARGEST_GROUP];
     }
 
@@ -157,9 +160,9 @@
     }
 
     /**
-     * Takes a sibling's message.
+     * Processes a sibling's message.
      *
-     * @return false where it contradicts an earlier one, which no correct sender causes
+     * @return false if it contradicts an earlier commitment of the same child and epoch, which no correct sender causes
      */
     boolean receive(GroupMessage message) {
         int child = message.child();
@@ -171,7 +174,7 @@
         if (message.previous() != null && message.epoch() > 0) {
             consistent &= log.put(child, message.epoch() - 1, message.previous());
         }
-        // Of two that speak for a child in one epoch, the one that may bind it counts.
+        // If two balancers represent a child in one epoch, the one that may commit it takes precedence.
         boolean binding = message.commitment() != null;
         if (message.epoch() > sibling.epoch || message.epoch() == sibling.epoch && binding) {
             sibling.epoch = message.epoch();
@@ -206,9 +209,9 @@
     }
 
     /**
-     * Takes the figures of a sibling of the version before: it counts as heard, and commits itself to nothing.
+     * Processes a message of the previous protocol version. The sibling counts as alive but makes no commitments.
      *
-     * @return false where the sibling has spoken as one of this version lately, so that this can't be its word
+     * @return false if the sibling has recently sent a message of the current version, so that this one is not plausible
      */
     boolean receivePrevious(int child, int epoch, PreviousVersion.Figures figures) {
         Sibling sibling = siblings[child];
@@ -227,7 +230,7 @@
         return true;
     }
 
-    /** The child's part of the group's movable part in an epoch, from 0 to 1. */
+    /** Returns the child's share of the group's dynamic allowance in an epoch, from 0 to 1. */
     double shareOfGroup(int epoch) {
         int transferEpoch = epoch - Timing.transferLead(level());
         int acknowledgedEpoch = epoch - Timing.acknowledgeLead(level());
@@ -235,24 +238,24 @@
                 / ShareRules.TOTAL_UNITS;
     }
 
-    /** The group's own movable part in an epoch as the holder told it, or 0. */
+    /** Returns the group's share of the dynamic allowance in an epoch as published by its holder, or 0 if unknown. */
     double publishedShare(int epoch) {
         return digestShareEpochs[epoch % digestShares.length] == epoch ? digestShares[epoch % digestShares.length] : 0;
     }
 
-    /** What the holder last told, or null where that is too old. */
+    /** Returns the last digest of the group's holder, or null if there is none or it is too old. */
     Digest digest(int epoch) {
         return digestEpoch >= epoch - Timing.MAX_AGE_EPOCHS ? digest : null;
     }
 
-    /** Figures of all children that are heard, this one's included. */
+    /** Returns the sum of the totals of this child and its fresh siblings. */
     Totals groupTotals(int epoch) {
         List<Totals> fresh = freshSiblingTotals(epoch);
         fresh.add(ownTotals);
         return Totals.sum(fresh);
     }
 
-    /** Figures of the siblings that are heard. */
+    /** Returns a mutable list of the totals of all siblings heard from recently. */
     List<Totals> freshSiblingTotals(int epoch) {
         List<Totals> fresh = new ArrayList<>();
         for (int child = 0; child < siblings.length; child++) {
@@ -263,7 +266,7 @@
         return fresh;
     }
 
-    /** The median of what all children that are heard have learned of the allowance. */
+    /** Returns the median of the allowance estimates of this child and its fresh siblings, in fetches per second. */
     double medianAllowanceRate(int epoch) {
         List<Estimate> rates = new ArrayList<>();
         rates.add(new Estimate(ownTotals.rate(), ownTotals.members()));
@@ -273,7 +276,7 @@
         return RobustRate.of(rates);
     }
 
-    /** Adds what the siblings that are heard have out to some counts. */
+    /** Adds the attempts in flight of all fresh siblings to the counts, which are in the order of the list of routers. */
     void addSiblingLoads(int epoch, int[] counts) {
         for (int child = 0; child < siblings.length; child++) {
             if (child != self && isFresh(child, epoch)) {
@@ -284,29 +287,29 @@
         }
     }
 
-    /** What is out outside of the group as its holder tells. */
+    /** Returns the attempts in flight outside the group as published by its holder, in the order of the list of routers. */
     int[] outsideLoads() {
         return outsideLoads;
     }
 
-    /** The balancer that speaks for a child; {@link Digest#UNKNOWN} where none is known. */
+    /** Returns the balancer that represents a child, or {@link Digest#UNKNOWN}. */
     int representative(int child) {
         return child == self ? balancer : siblings[child].representative;
     }
 
-    /** Takes over a speaker that another one knew. */
+    /** Sets the representative of a sibling unless one is known already. */
     void setRepresentativeIfUnknown(int child, int representative) {
         if (child != self && siblings[child].representative == Digest.UNKNOWN) {
             siblings[child].representative = representative;
         }
     }
 
-    /** A child that has been silent may have another speaker by now: it is looked for again. */
+    /** Returns whether a child has been silent for so long that another balancer may represent it by now. */
     boolean isRepresentativeStale(int child, int epoch) {
         return level() != Level.SITE && !isFresh(child, epoch);
     }
 
-    /** Children that are heard, this one included. */
+    /** Returns the number of children heard from recently, including this one. */
     int freshChildren(int epoch) {
         return Integer.bitCount(acknowledgedBits(epoch));
     }
--- a/tier/src/main/java/baymoor/tier/exchange/LeaseElection.java
+++ b/tier/src/main/java/baymoor/tier/exchange/LeaseElection.java
@@ -3,18 +3,19 @@
 import java.util.Arrays;
 
 /**
- * The lease of a group, as one child sees it. Each child votes once in an epoch; who has half of the votes may read for the
- * group in that epoch, who has more than half may also bind it. The term tells the newer of two who claim it.
+ * Elects the holder of a group's lease, from the view of one child. Each child votes once per epoch. A child with at least half
+ * of the votes may act for the group in that epoch; only one with a majority may make commitments for it. Of two claims, the one
+ * with the higher term is the newer. Not thread-safe.
  */
 final class LeaseElection {
 
-    /** What an epoch's votes allow. */
+    /** What the votes of an epoch permit a child to do. */
     enum VoteOutcome {
-        /** Not the holder. */
+        /** Less than half of the votes, or not the child's own vote: not the holder. */
         NONE,
-        /** Exactly half: nobody else can have more than half, and neither can this one bind the group. */
+        /** Exactly half of the votes: no other child can have a majority, and this one can't commit the group. */
         HALF,
-        /** More than half. */
+        /** More than half of the votes: the child may commit the group. */
         MAJORITY
     }
 
@@ -37,7 +38,7 @@
         voteEpoch = filled(children, NEVER);
         vote = new int[children];
         claimedTerm = new int[children];
-        // Of two, one lost message would make two holders; of more, it costs one vote.
+        // In a group of two, losing a single message would otherwise create a second holder.
         toleratedSilence = children > 2 ? 1 : 2;
     }
 
@@ -47,7 +48,7 @@
         return array;
     }
 
-    /** Takes a sibling's vote. */
+    /** Processes a sibling's vote; one that is older than the last, or repeats it, is ignored. */
     void receive(int child, int epoch, int votedFor, int term, boolean claims) {
         if (epoch <= lastHeardEpoch[child]) {
             return;
@@ -59,7 +60,7 @@
         highestTerm = Math.max(highestTerm, term);
     }
 
-    /** Votes in an epoch: for the claimant with the highest term, else for the lowest child that is heard. */
+    /** Votes in an epoch for the claimant with the highest term, or without a claimant for the lowest live child. */
     int castVote(int epoch) {
         int best = -1;
         int claimants = 0;
@@ -90,7 +91,7 @@
         return isFresh(child, epoch) ? claimedTerm[child] : 0;
     }
 
-    /** Counts the votes of an epoch, the own one included; a new holder takes a new term. */
+    /** Tallies the votes of an epoch, including this child's own. A new holder starts a new term. */
     VoteOutcome tally(int epoch) {
         int ownVotes = 0;
         for (int child = 0; child < vote.length; child++) {
@@ -107,17 +108,17 @@
         return 2 * ownVotes > vote.length ? VoteOutcome.MAJORITY : VoteOutcome.HALF;
     }
 
-    /** Whether this child claims the lease. */
+    /** Returns whether this child claims the lease. */
     boolean claimsLease(int epoch) {
         return lastHeldEpoch >= epoch - toleratedSilence;
     }
 
-    /** The term to tell. */
+    /** Returns the term to send: its own if this child claims the lease, otherwise the highest one known. */
     int term(int epoch) {
         return claimsLease(epoch) ? ownTerm : highestTerm;
     }
 
-    /** The child that holds the lease as far as is known, or -1. */
+    /** Returns the live child that claims the lease with the highest term, or -1 if there is none. */
     int holder(int epoch) {
         int best = -1;
         for (int child = 0; child < vote.length; child++) {
@@ -128,12 +129,12 @@
         return best;
     }
 
-    /** Whether a sibling's claim has been overtaken by a newer term. */
+    /** Returns whether a newer term than the given one is known. */
     boolean isStaleTerm(int term) {
         return term < highestTerm;
     }
 
-    /** How often two claims were seen at once. */
+    /** Returns the number of votes cast while more than one child claimed the lease. */
     int conflictingClaims() {
         return conflictingClaims;
     }
--- a/tier/src/main/java/baymoor/tier/exchange/RepresentativeTable.java
+++ b/tier/src/main/java/baymoor/tier/exchange/RepresentativeTable.java
@@ -8,7 +8,10 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Which balancer speaks for which child of a balancer's groups, as last heard; and who may speak for it at all. */
+/**
+ * The last known representative of each child of a balancer's groups. Also validates that a message's sender may represent the
+ * child it names. Not thread-safe.
+ */
 final class RepresentativeTable {
 
     private final Places places;
@@ -23,12 +26,12 @@
         }
     }
 
-    /** The last known speaker of a child; {@link Digest#UNKNOWN} where there is none. */
+    /** Returns the last known representative of a child, or {@link Digest#UNKNOWN}. */
     int get(Level level, int child) {
         return representatives[level.ordinal()][child];
     }
 
-    /** Takes over who spoke, and whom a holder names as the speakers one level up. */
+    /** Records the representative in a message, and those one level up that its digest names. */
     void update(GroupMessage message) {
         representatives[message.level().ordinal()][message.child()] = message.speaker();
         if (message.digest() != null && !message.level().isTop()) {
@@ -51,7 +54,10 @@
                 && places.child(level, representative) == child;
     }
 
-    /** Whether a message can be what it says: from a sibling, by a balancer below it, for no more members than it has. */
+    /**
+     * Returns whether a message is consistent with the places: it comes from a sibling, its representative belongs to that
+     * sibling, and it counts no more members than the sibling has.
+     */
     boolean isPlausible(int sender, GroupMessage message) {
         Group group = places.group(message.level(), balancer);
         int children = group.children().size();
