--- a/tier/src/main/java/baymoor/tier/exchange/CommitmentLog.java
+++ b/tier/src/main/java/baymoor/tier/exchange/CommitmentLog.java
@@ -3,10 +3,10 @@
 import baymoor.tier.message.Commitment;
 import java.util.Arrays;
 
-/** The commitments of all children of a group by the epoch in which they were made, as far as they are known. */
+/** The known recent commitments of all children of a group, by the epoch in which they were made. Not thread-safe. */
 final class CommitmentLog {
 
-    /** Longer than the furthest lead and the oldest message together. */
+    /** Exceeds the longest lead of a commitment plus the maximum age of a message. */
     private static final int WINDOW_EPOCHS = 32;
 
     private static final int NONE = -1;
@@ -23,9 +23,9 @@
     }
 
     /**
-     * Keeps what a child committed itself to in an epoch. The first word stands.
+     * Records a child's commitment of an epoch. The first one recorded for an epoch is kept.
      *
-     * @return false where another one is known already, which no correct sender causes
+     * @return false if a different commitment is already known, which no correct sender causes
      */
     boolean put(int child, int epoch, Commitment commitment) {
         int slot = epoch % WINDOW_EPOCHS;
@@ -39,7 +39,7 @@
         return true;
     }
 
-    /** What a child committed itself to in an epoch, or null where that isn't known. */
+    /** Returns a child's commitment of an epoch, or null if it is unknown. */
     Commitment get(int child, int epoch) {
         if (epoch < 0) {
             return null;
--- a/tier/src/main/java/baymoor/tier/exchange/Credits.java
+++ b/tier/src/main/java/baymoor/tier/exchange/Credits.java
@@ -1,12 +1,12 @@
 package baymoor.tier.exchange;
 
 /**
- * The credits of one balancer: they come in evenly by its part of the allowance, one buys one fetch, and no more are kept than
- * one and what a fraction of an epoch brings. So a part that was away comes back without a burst.
+ * A token bucket for one balancer's fetches. Credits accrue at the rate of its share of the allowance, and each fetch spends
+ * one. The small capacity prevents a burst after an idle time. Not thread-safe.
  */
 public final class Credits {
 
-    /** The part of a second's credits that may be kept beside one. */
+    /** Time whose accrual may be stored in addition to one credit. */
     public static final double BURST_SECONDS = 0.05;
 
     private static final double MICROS_PER_SECOND = 1e6;
@@ -14,12 +14,12 @@
     private double credits;
     private long lastAccrualMicros;
 
-    /** Starts with none. */
+    /** Creates an empty bucket. */
     public Credits(long nowMicros) {
         lastAccrualMicros = nowMicros;
     }
 
-    /** Adds what has come in since the last call. */
+    /** Adds the credits accrued since the last call. A clock that moved backwards adds none. */
     public void accrue(long nowMicros, double perSecond) {
         double limit = 1 + BURST_SECONDS * perSecond;
         double elapsed = Math.max(0, nowMicros - lastAccrualMicros) / MICROS_PER_SECOND;
@@ -27,7 +27,7 @@
         lastAccrualMicros = Math.max(lastAccrualMicros, nowMicros);
     }
 
-    /** Spends one, if there is one. */
+    /** Spends one credit if a whole one is available, and returns whether it did. */
     public boolean trySpend() {
         if (credits < 1) {
             return false;
@@ -36,7 +36,7 @@
         return true;
     }
 
-    /** Whole credits. */
+    /** Returns the number of whole credits. */
     public int available() {
         return (int) credits;
     }
--- a/tier/src/main/java/baymoor/tier/exchange/LoadReporter.java
+++ b/tier/src/main/java/baymoor/tier/exchange/LoadReporter.java
@@ -5,12 +5,12 @@
 import java.util.Arrays;
 
 /**
- * Chooses what a message says of routers: those whose count has changed most since it was told, and a run that goes round all
- * of them, so that none is older than the length of the list by that of the run.
+ * Selects the router loads to include in each message: the counts that changed most since they were last reported, and a run
+ * of consecutive routers that cycles through the list, which bounds the age of every count. Not thread-safe.
  */
 final class LoadReporter {
 
-    /** Changes up to this part of a count, and this many attempts, wait for their turn. */
+    /** A change is reported ahead of the cycle only if it exceeds this fraction of the count plus {@link #IGNORED_CHANGE}. */
     private static final double IGNORED_CHANGE_FRACTION = 0.2;
 
     private static final int IGNORED_CHANGE = 1;
@@ -22,20 +22,22 @@
     private int cursor;
 
     /**
-     * @param taggedCount routers told out of turn
-     * @param run routers told in turn
+     * Creates a reporter whose first run starts with the first router of the list.
+     *
+     * @param taggedCount maximum number of routers per message that are reported individually
+     * @param runLength maximum number of consecutive routers per message
      */
     LoadReporter(int taggedCount, int runLength) {
         this.taggedCount = taggedCount;
         this.runLength = runLength;
     }
 
-    /** Messages until every router has been told. */
+    /** Returns the number of messages whose runs report each router once. */
     static int messagesPerCycle(int routers, int runLength) {
         return (routers + runLength - 1) / runLength;
     }
 
-    /** The next report on these counts. */
+    /** Returns the next report of the counts, which are in the order of the list. */
     LoadReport nextReport(RouterList list, int[] counts) {
         if (list != routers) {
             routers = list;
@@ -69,7 +71,7 @@
         return (byte) CompactCount.BYTE.encode(counts[index]);
     }
 
-    /** The router whose count has changed most, by at least a fifth and one attempt; -1 where there is none. */
+    /** Returns the router whose count exceeds the ignored change by most, or -1 if none does. */
     private int mostChangedRouter(int[] counts) {
         int best = -1;
         double largestChange = 0;
@@ -85,7 +87,7 @@
         return best;
     }
 
-    /** Takes a report over into counts. */
+    /** Updates counts in the order of the list from a report. A run based on a different list is ignored. */
     static void apply(LoadReport report, RouterList list, int[] counts) {
         if (report.fingerprint() == list.fingerprint()) {
             for (int i = 0; i < report.run().length && report.start() + i < counts.length; i++) {
--- a/tier/src/main/java/baymoor/tier/exchange/RouterList.java
+++ b/tier/src/main/java/baymoor/tier/exchange/RouterList.java
@@ -4,10 +4,10 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Routers in an order that is the same at all balancers with the same list: by a hash of their ids. */
+/** An immutable list of routers, sorted by a hash of their ids so that the order is the same at all balancers. */
 public final class RouterList {
 
-    /** Of no routers. */
+    /** The empty list. */
     public static final RouterList EMPTY = new RouterList(new long[0]);
 
     private static final int TAG_MASK = 0xffff;
@@ -16,7 +16,7 @@
     private final Map<Integer, Integer> indexOfTag = new HashMap<>();
     private final int fingerprint;
 
-    /** The list of these ids. */
+    /** Creates the list of the routers with the given ids. */
     public RouterList(long[] ids) {
         tags = Arrays.stream(ids).mapToInt(RouterList::tag).sorted().distinct().toArray();
         for (int index = 0; index < tags.length; index++) {
@@ -26,7 +26,7 @@
         fingerprint = (hash ^ hash >>> Short.SIZE) & TAG_MASK;
     }
 
-    /** Two bytes of an id's hash. Two routers with the same are taken for one, which is rare among some hundred. */
+    /** Returns a 16-bit hash of an id. Routers with equal tags are treated as one, which is rare among a few hundred. */
     public static int tag(long id) {
         long x = id;
         x = (x ^ (x >>> 30)) * 0xbf58476d1ce4e5b9L;
@@ -34,12 +34,12 @@
         return (int) ((x ^ (x >>> 31)) & TAG_MASK);
     }
 
-    /** The number of routers. */
+    /** Returns the number of distinct tags. */
     public int size() {
         return tags.length;
     }
 
-    /** The index of a router by its tag, or -1. */
+    /** Returns the index of the router with the given tag, or -1. */
     public int indexOf(int tag) {
         return indexOfTag.getOrDefault(tag, -1);
     }
--- a/tier/src/main/java/baymoor/tier/exchange/ShareRules.java
+++ b/tier/src/main/java/baymoor/tier/exchange/ShareRules.java
@@ -7,12 +7,13 @@
 import baymoor.tier.split.Split;
 
 /**
- * The rules by which the children of a group divide the group's movable part. All follow from commitments, which never change,
- * so the parts of an epoch add up to no more than the whole, whoever knows how much of them.
+ * The rules by which the children of a group divide the group's dynamic share. They depend only on immutable commitments, so
+ * the children's units of an epoch never add up to more than the total, however incomplete each child's knowledge is. A missing
+ * commitment never increases a child's units. Thread-safe.
  */
 class ShareRules {
 
-    /** The whole of a group's part. */
+    /** The units into which a group's share is divided. */
     static final int TOTAL_UNITS = 1 << 16;
 
     private final Group group;
@@ -23,30 +24,33 @@
         this(group, TOTAL_UNITS);
     }
 
-    /** For a group whose part has so many units. */
+    /** Creates the rules for a group whose share is divided into the given number of units. */
     ShareRules(Group group, int totalUnits) {
         this.group = group;
         members = group.members();
         baseUnits = new int[group.children().size()];
         for (int child = 0; child < baseUnits.length; child++) {
-            // One unit less than all, since a gift of the whole has to fit 16 bits.
+            // One unit is left out because a transfer of all units has to fit into 16 bits.
             baseUnits[child] = (int) ((long) (totalUnits - 1) * group.sizes().get(child) / members);
         }
     }
 
-    /** What a child may give away: members of a site all, groups half, so that who follows a lost holder knows of the rest. */
+    /**
+     * Returns the most units that a child may transfer: all of its base in a site, half of it elsewhere. The other half stays
+     * available to a new holder that does not know what the previous one transferred.
+     */
     int maxTransfer(int child) {
         return group.level() == Level.SITE ? baseUnits(child) : baseUnits(child) / 2;
     }
 
-    /** A child's part by size alone. */
+    /** Returns a child's units in proportion to its size. */
     int baseUnits(int child) {
         return baseUnits[child];
     }
 
     /**
-     * Whether a child has its base in an epoch: unless children with more than half of all members may deny it. A child with
-     * half of them can't be denied.
+     * Returns whether a child owns its base in an epoch: the children known to acknowledge it, including itself, have at least
+     * half of all members, so that no majority can revoke the base.
      */
     boolean ownsBase(CommitmentLog log, int child, int acknowledgedEpoch) {
         int acknowledging = group.sizes().get(child);
@@ -59,7 +63,7 @@
         return 2 * acknowledging >= members;
     }
 
-    /** Whether children with more than half of all members deny a child in an epoch, so that the others have its base. */
+    /** Returns whether a child's base is revoked: children with a majority of all members did not acknowledge it. */
     boolean baseRevoked(CommitmentLog log, int child, int acknowledgedEpoch) {
         int unacknowledging = 0;
         for (int other = 0; other < baseUnits.length; other++) {
@@ -71,7 +75,7 @@
         return 2 * unacknowledging > members;
     }
 
-    /** What falls to one child of the base of another that is denied. */
+    /** Returns the units that one child receives from the revoked base of another. */
     int reassignedUnits(int fromChild, int toChild) {
         return (int) ((long) baseUnits[fromChild]
                 * group.sizes().get(toChild)
@@ -79,11 +83,12 @@
     }
 
     /**
-     * The units that a child has in an epoch.
+     * Returns the units that a child has in an epoch.
      *
-     * @param acknowledgedEpoch when the acknowledgements for this epoch were made
-     * @param transferEpoch when the gifts for this epoch were made
-     * @param ownCommitment what the child itself has given in that epoch, or null where it doesn't know
+     * @param acknowledgedEpoch the epoch in which the acknowledgements for this epoch were made
+     * @param transferEpoch the epoch in which the transfers for this epoch were made
+     * @param ownCommitment the child's own commitment of the transfer epoch, or null if unknown, in which case the maximum
+     *     transfer is assumed
      */
     int units(CommitmentLog log, int child, int acknowledgedEpoch, int transferEpoch, Commitment ownCommitment) {
         long units = 0;
@@ -102,10 +107,11 @@
     }
 
     /**
-     * What a child gives to the others so that all together come to the weighted split of what they hold: the givers' surplus
-     * laid beside the takers' want, both in the order of their indices.
+     * Returns the units that a child transfers to each other child. The transfers of all children together bring each one to
+     * its share of the weighted split: surpluses are matched with deficits, both in the order of the children's indices.
      *
-     * @param weights 0 for children that aren't heard
+     * @param weights the weight of each child, 0 for children that are not fresh
+     * @param draws the random draw of each child, for {@link Split#shares}
      */
     int[] transfers(int child, double[] weights, int[] draws) {
         long total = 0;
--- a/tier/src/main/java/baymoor/tier/exchange/Sizes.java
+++ b/tier/src/main/java/baymoor/tier/exchange/Sizes.java
@@ -5,14 +5,14 @@
 import baymoor.tier.place.Places;
 
 /**
- * What messages hold, and what they come to: chosen so that a balancer that holds the leases of its site, zone and region at
- * once stays within the budget at 640 balancers and 49 sites.
+ * Limits on the contents of messages, and an estimate of the traffic that follows from them. The limits keep a balancer that
+ * holds the leases of its site, zone and region at once within the budget in a tier of 640 balancers at 49 sites.
  */
 public final class Sizes {
 
-    /** Bytes of a datagram's IP and UDP headers. */
+    /** Bytes of a datagram's IPv4 and UDP headers. */
     public static final int HEADER_BYTES = 28;
-    /** Bytes a second that a balancer may spend on control, both ways together, headers included. */
+    /** Maximum control traffic of a balancer, sent and received together, including headers. */
     public static final int BUDGET_BYTES_PER_SECOND = 7_000;
 
     static final int MEMBER_TAGGED_LOADS = 4;
@@ -30,7 +30,7 @@
     private static final int LOAD_REPORT_BYTES = 6;
     private static final int TAGGED_LOAD_BYTES = 3;
 
-    /** Messages and bytes a second, both ways together. */
+    /** A rate of messages and of bytes per second, sent and received together. */
     public record Traffic(double messages, double bytes) {
         Traffic plus(Traffic other) {
             return new Traffic(messages + other.messages, bytes + other.bytes);
@@ -39,7 +39,7 @@
 
     private Sizes() {}
 
-    /** Bytes of a message at a level with gifts to so many siblings, all loads told. */
+    /** Returns the bytes of a message at a level without a digest, with the given number of transfers and full load reports. */
     static int messageBytes(Level level, int transfers) {
         boolean site = level == Level.SITE;
         int taggedLoads = site ? MEMBER_TAGGED_LOADS : GROUP_TAGGED_LOADS;
@@ -48,17 +48,17 @@
         return MESSAGE_BASE_BYTES + commitments + LOAD_REPORT_BYTES + taggedLoads * TAGGED_LOAD_BYTES + runLength;
     }
 
-    /** Bytes of what a holder adds to its message. */
+    /** Returns the bytes that a lease holder's digest adds to its message. */
     static int digestBytes(int siblingsAbove) {
         int loads = LOAD_REPORT_BYTES + OUTSIDE_TAGGED_LOADS * TAGGED_LOAD_BYTES + OUTSIDE_RUN_LENGTH;
         return DIGEST_BASE_BYTES + siblingsAbove * REPRESENTATIVE_BYTES + loads;
     }
 
     /**
-     * The traffic of a balancer.
+     * Estimates the control traffic of a balancer.
      *
-     * @param heldLeases the number of leases it holds, from its site up
-     * @param transfers siblings that a message gives to, on average
+     * @param heldLeases the number of leases it holds, counted upwards from its site
+     * @param transfers the average number of siblings that a message transfers units to
      */
     public static Traffic traffic(Places places, int balancer, int heldLeases, int transfers, Timing timing) {
         Traffic sum = new Traffic(0, 0);
@@ -76,7 +76,7 @@
         int above = level.isTop()
                 ? 0
                 : places.group(level.above(), balancer).children().size();
-        // One digest goes to all siblings, or comes from one of them.
+        // A holder sends its digest to all siblings; any other member receives one.
         int digests = level.isTop() ? 0 : holder ? others : Math.min(1, others);
         return new Traffic(2.0 * others, 2.0 * others * message + (double) digests * digestBytes(above));
     }
--- a/tier/src/main/java/baymoor/tier/exchange/Timing.java
+++ b/tier/src/main/java/baymoor/tier/exchange/Timing.java
@@ -3,60 +3,62 @@
 import baymoor.tier.place.Level;
 
 /**
- * Epochs and the moments in them. Epochs are counted by the machines' clocks, which may differ by {@link #MAX_CLOCK_SKEW_MICROS}:
- * each level speaks a quarter of an epoch after the one below, so that it has heard that one's messages of the same epoch.
+ * The schedule of the exchange. Epochs are counted by the machines' clocks, which may differ by up to
+ * {@link #MAX_CLOCK_SKEW_MICROS}. Each level sends later in the epoch than the one below, by at least that skew, so that it has
+ * received the lower level's messages of the same epoch.
  *
- * @param epochMicros the length of an epoch, in which each child of a group speaks once
+ * @param epochMicros the length of an epoch, in which each child of a group sends one message
  */
 public record Timing(long epochMicros) {
 
-    /** One second, as the quotas go by. */
+    /** Epochs of one second, the period of the allowance. */
     public static final Timing USUAL = new Timing(1_000_000);
 
-    /** The most by which the clocks of two machines may differ, where epochs last a second. */
+    /** The maximum tolerated difference between the clocks of two machines, for epochs of one second. */
     public static final long MAX_CLOCK_SKEW_MICROS = 200_000;
-    /** Epochs after which the figures of a silent child no longer count. */
+    /** Epochs for which a child counts as alive after its last message. */
     static final int FRESHNESS_EPOCHS = 2;
-    /** Messages from further back, or from further in the future, are dropped. */
+    /** Messages from epochs further in the past are dropped. */
     static final int MAX_AGE_EPOCHS = 4;
 
+    /** Messages from epochs further in the future are dropped. */
     static final int MAX_LEAD_EPOCHS = 1;
 
     private static final double SITE_SEND_SPREAD = 0.15;
     private static final double[] SEND_OFFSETS = {0, 0.4, 0.65, 0.9};
 
-    /** The epoch of a time. */
+    /** Returns the epoch that contains a time. */
     public int epoch(long micros) {
         return (int) (micros / epochMicros);
     }
 
-    /** When a balancer speaks at a level in an epoch; in sites the members speak one after another. */
+    /** Returns when the given child of a group sends its message of an epoch. The members of a site send one after another. */
     public long sendMicros(Level level, int epoch, int child, int children) {
         double spread = level == Level.SITE ? SITE_SEND_SPREAD * child / children : 0;
         return epoch * epochMicros + (long) ((SEND_OFFSETS[level.ordinal()] + spread) * epochMicros);
     }
 
-    /** How many epochs ahead a child of a group of this level says what it gives. */
+    /** Returns how many epochs ahead the children of a group of this level commit to transfers. */
     static int transferLead(Level level) {
         return level.ordinal() + 2;
     }
 
-    /** How many epochs ahead it says whom it acknowledges: known everywhere when gives are made. */
+    /** Returns how many epochs ahead they commit to acknowledgements, early enough to be known when transfers are made. */
     static int acknowledgeLead(Level level) {
         return transferLead(level) + 2;
     }
 
-    /** The first epoch that a digest at this level is about, counted from its own. */
+    /** Returns how many epochs ahead the first share in a digest at this level applies. */
     static int digestLead(Level level) {
         return level.ordinal() + 1;
     }
 
-    /** Epochs after the last word of the others until a child of such a group falls back to its guaranteed part. */
+    /** Returns the epochs after which a child that receives nothing from its siblings falls back to its guaranteed share. */
     public static int fallBackEpochs(Level level) {
         return acknowledgeLead(level) + 1;
     }
 
-    /** Epochs after the last word of a child until its siblings may use what it held. */
+    /** Returns the epochs after a child's last message until its siblings may use its units. */
     public static int reallocationEpochs(Level level) {
         return acknowledgeLead(level) + FRESHNESS_EPOCHS + 1;
     }
