--- a/tier/src/test/java/baymoor/tier/exchange/ExchangeExplorationTest.java
+++ b/tier/src/test/java/baymoor/tier/exchange/ExchangeExplorationTest.java
@@ -36,12 +36,12 @@
 
     /** Plays a run to its end; gives the most that all could fetch together in any epoch. */
     private static double maxTotalShare(
-            ExchangeHarness tier, int restarting, int restartStep, boolean forgetsSentEpoch) {
+            ExchangeHarness tier, int restartedBalancer, int restartStep, boolean forgetsSentEpoch) {
         double max = 0;
         for (int epoch = 0; epoch < SETTLING_EPOCHS + OBSERVED_EPOCHS; epoch++) {
             tier.setMissWeight(
                     tier.balancers() - 1, epoch >= SETTLING_EPOCHS ? 40 : 0); // the demand moves in the window
-            tier.runEpoch(epoch == SETTLING_EPOCHS ? restarting : -1, restartStep, forgetsSentEpoch);
+            tier.runEpoch(epoch == SETTLING_EPOCHS ? restartedBalancer : -1, restartStep, forgetsSentEpoch);
             max = Math.max(max, tier.totalShare());
         }
         return max;
@@ -112,11 +112,11 @@
 
     private static double exploreRestarts(Function<Group, ShareRules> rules, boolean forgetsSentEpoch) {
         double max = 0;
-        for (int restarting = 0; restarting < 4; restarting++) {
+        for (int restartedBalancer = 0; restartedBalancer < 4; restartedBalancer++) {
             for (int step = 0; step < 8; step++) {
                 for (long pattern = 0; pattern < 1L << DATAGRAMS_PER_EPOCH; pattern++) {
                     ExchangeHarness tier = tier(TWO_BY_TWO, rules, faultPattern(pattern, 1, Delivery.DROPPED));
-                    max = Math.max(max, maxTotalShare(tier, restarting, step, forgetsSentEpoch));
+                    max = Math.max(max, maxTotalShare(tier, restartedBalancer, step, forgetsSentEpoch));
                 }
             }
         }
--- a/tier/src/test/java/baymoor/tier/exchange/ExchangeHarness.java
+++ b/tier/src/test/java/baymoor/tier/exchange/ExchangeHarness.java
@@ -73,11 +73,11 @@
     }
 
     /** Runs one epoch; a process restarts at one of its moments, or none does. */
-    void runEpoch(int restarting, int restartStep, boolean forgetsSentEpoch) {
+    void runEpoch(int restartedBalancer, int restartStep, boolean forgetsSentEpoch) {
         for (int step = 0; step < STEP_PERCENTS.length; step++) {
             long now = epoch * EPOCH_MICROS + STEP_PERCENTS[step] * EPOCH_MICROS / 100;
-            if (restarting >= 0 && step == restartStep) {
-                restart(restarting, forgetsSentEpoch ? now - EPOCH_MICROS : now);
+            if (restartedBalancer >= 0 && step == restartStep) {
+                restart(restartedBalancer, forgetsSentEpoch ? now - EPOCH_MICROS : now);
             }
             for (int b = 0; b < exchanges.length; b++) {
                 int from = b;
--- a/tier/src/test/java/baymoor/tier/simulation/Network.java
+++ b/tier/src/test/java/baymoor/tier/simulation/Network.java
@@ -42,7 +42,7 @@
     private final Random random;
     private final PriorityQueue<Arrival> arrivals =
             new PriorityQueue<>(Comparator.comparingLong(Arrival::micros).thenComparingLong(Arrival::number));
-    private long number;
+    private long arrivalCount;
 
     public Network(Places places, long seed) {
         this.places = places;
@@ -72,7 +72,7 @@
         for (int copy = 0; copy < copies; copy++) {
             long jitter = faults.jitterMicros == 0 ? 0 : (long) (random.nextDouble() * faults.jitterMicros);
             long arrivalMicros = nowMicros + delayMicros(from, to) + jitter;
-            arrivals.add(new Arrival(arrivalMicros, number++, from, to, datagram));
+            arrivals.add(new Arrival(arrivalMicros, arrivalCount++, from, to, datagram));
         }
     }
 
--- a/tier/src/test/java/baymoor/tier/simulation/ScaleComparison.java
+++ b/tier/src/test/java/baymoor/tier/simulation/ScaleComparison.java
@@ -27,14 +27,14 @@
 public class ScaleComparison {
 
     private static final long SECOND = SimulatedTier.SECOND;
-    private static final long STEP = 10_000;
+    private static final long STEP_MICROS = 10_000;
     private static final int ROUTERS = 180;
-    private static final int OUT = 40;
-    private static final double ALLOWED_EACH = 5;
+    private static final int OUTSTANDING_ATTEMPTS = 40;
+    private static final double ALLOWANCE_PER_BALANCER = 5;
     private static final double HITS_PER_SECOND = 114; // forty out at a time
-    private static final int SETTLED_SECONDS = 16;
+    private static final int SETTLING_SECONDS = 16;
     private static final int MEASURED_SECONDS = 20;
-    private static final int PAIRS = 2_000;
+    private static final int SAMPLED_PAIRS = 2_000;
 
     private static int[] sizes() {
         return Arrays.stream(System.getProperty("tier.sizes", "20,100").split(","))
@@ -42,33 +42,33 @@
                 .toArray();
     }
 
-    private static void print(String format, Object... values) {
+    private static void printRow(String format, Object... values) {
         System.out.printf(Locale.ROOT, format + "%n", values);
     }
 
-    private static double misses(int balancer) {
+    private static double missRate(int balancer) {
         return balancer % 4 == 0 ? 20 : 3;
     }
 
-    private static double percentile(List<Double> values, double part) {
-        List<Double> known = new ArrayList<>(values);
-        known.removeIf(v -> v.isNaN());
-        if (known.isEmpty()) {
+    private static double percentile(List<Double> values, double quantile) {
+        List<Double> sorted = new ArrayList<>(values);
+        sorted.removeIf(v -> v.isNaN());
+        if (sorted.isEmpty()) {
             return Double.NaN;
         }
-        Collections.sort(known);
-        return known.get((int) Math.min(known.size() - 1, part * known.size()));
+        Collections.sort(sorted);
+        return sorted.get((int) Math.min(sorted.size() - 1, quantile * sorted.size()));
     }
 
     private static SimulatedTier groups(Places places, long seed) {
-        SimulatedTier tier = new SimulatedTier(places, seed, STEP);
+        SimulatedTier tier = new SimulatedTier(places, seed, STEP_MICROS);
         tier.setRouters(new RouterList(LongStream.rangeClosed(1, ROUTERS).toArray()));
         Random random = new Random(seed);
         for (int b = 0; b < places.balancers(); b++) {
             // A tenth have learned far too little, as after a bad second of their own.
             double noise = b % 10 == 9 ? 0.1 : 1 + 0.05 * random.nextGaussian();
-            tier.setLearnedRate(b, noise * ALLOWED_EACH * places.balancers());
-            tier.setMissRate(b, misses(b));
+            tier.setLearnedRate(b, noise * ALLOWANCE_PER_BALANCER * places.balancers());
+            tier.setMissRate(b, missRate(b));
         }
         return tier;
     }
@@ -78,38 +78,40 @@
         for (int b = 0; b < tier.places.balancers(); b++) {
             int[] loads = tier.loads(b);
             Arrays.fill(loads, 0);
-            for (int i = 0; i < OUT; i++) {
+            for (int i = 0; i < OUTSTANDING_ATTEMPTS; i++) {
                 loads[random.nextInt(loads.length)]++;
             }
         }
     }
 
     private static FullMesh mesh(Places places, long seed) {
-        double allowed = ALLOWED_EACH * places.balancers();
+        double allowed = ALLOWANCE_PER_BALANCER * places.balancers();
         FullMesh mesh = new FullMesh(places, ROUTERS, HITS_PER_SECOND, allowed, seed);
         for (int b = 0; b < places.balancers(); b++) {
-            mesh.misses(b, misses(b));
+            mesh.misses(b, missRate(b));
         }
         return mesh;
     }
 
-    private static void traffic(String kind, int balancers, Network network, String rest) {
-        double most = 0;
+    private static void printTraffic(String kind, int balancers, Network network, String ageAndUse) {
+        double maxBytes = 0;
         double sum = 0;
-        double mostMessages = 0;
+        double maxMessages = 0;
         for (int b = 0; b < balancers; b++) {
             double bytes = (network.sentBytes[b] + network.receivedBytes[b]) / (double) MEASURED_SECONDS;
             double messages = (network.sentMessages[b] + network.receivedMessages[b]) / (double) MEASURED_SECONDS;
-            most = Math.max(most, bytes);
-            mostMessages = Math.max(mostMessages, messages);
+            maxBytes = Math.max(maxBytes, bytes);
+            maxMessages = Math.max(maxMessages, messages);
             sum += bytes / balancers;
         }
-        print("| %s | %d | %.0f | %.2f | %.2f | %s |", kind, balancers, mostMessages, sum / 1000, most / 1000, rest);
+        printRow(
+                "| %s | %d | %.0f | %.2f | %.2f | %s |",
+                kind, balancers, maxMessages, sum / 1000, maxBytes / 1000, ageAndUse);
     }
 
     @Test
     public void sideBySide() {
-        print("| kind | balancers | messages/s, most | KB/s, mean | KB/s, most | age p50 | age p99 "
+        printRow("| kind | balancers | messages/s, most | KB/s, mean | KB/s, most | age p50 | age p99 "
                 + "| worst second | use | core %% |");
         for (int balancers : sizes()) {
             measureGroups(balancers);
@@ -121,10 +123,10 @@
         SimulatedTier tier = groups(TestPlaces.of(balancers), 11);
         Random random = new Random(12);
         List<Double> ages = new ArrayList<>();
-        double worst = 0;
-        double use = 0;
-        for (int second = 0; second < SETTLED_SECONDS + MEASURED_SECONDS; second++) {
-            if (second == SETTLED_SECONDS) {
+        double maxUse = 0;
+        double meanUse = 0;
+        for (int second = 0; second < SETTLING_SECONDS + MEASURED_SECONDS; second++) {
+            if (second == SETTLING_SECONDS) {
                 tier.network.resetCounts();
                 tier.controlNanos = 0;
             }
@@ -132,86 +134,88 @@
             for (int tenth = 0; tenth < 10; tenth++) {
                 churn(tier, random);
                 tier.advance(SECOND / 10);
-                if (second >= SETTLED_SECONDS) {
+                if (second >= SETTLING_SECONDS) {
                     ages.add(tier.outsideAgeSeconds(random.nextInt(balancers)));
                     ages.add(tier.outsideAgeSeconds(random.nextInt(balancers)));
                 }
             }
-            if (second >= SETTLED_SECONDS) {
-                double part = tier.fetchedInSecond / (ALLOWED_EACH * balancers);
-                worst = Math.max(worst, part);
-                use += part / MEASURED_SECONDS;
+            if (second >= SETTLING_SECONDS) {
+                double usedFraction = tier.fetchedInSecond / (ALLOWANCE_PER_BALANCER * balancers);
+                maxUse = Math.max(maxUse, usedFraction);
+                meanUse += usedFraction / MEASURED_SECONDS;
             }
         }
-        double core = 100.0 * tier.controlNanos / 1e9 / MEASURED_SECONDS / balancers;
-        String rest = String.format(
+        double corePercent = 100.0 * tier.controlNanos / 1e9 / MEASURED_SECONDS / balancers;
+        String ageAndUse = String.format(
                 Locale.ROOT,
                 "%.1f s | %.1f s | %.2f | %.2f | %.3f",
                 percentile(ages, 0.5),
                 percentile(ages, 0.99),
-                worst,
-                use,
-                core);
-        traffic("groups", balancers, tier.network, rest);
+                maxUse,
+                meanUse,
+                corePercent);
+        printTraffic("groups", balancers, tier.network, ageAndUse);
     }
 
     private static void measureMesh(int balancers) {
         FullMesh mesh = mesh(TestPlaces.of(balancers), 11);
         Random random = new Random(12);
         List<Double> ages = new ArrayList<>();
-        double worst = 0;
-        double use = 0;
-        double before = 0;
-        for (int second = 0; second < SETTLED_SECONDS + MEASURED_SECONDS; second++) {
-            if (second == SETTLED_SECONDS) {
+        double maxUse = 0;
+        double meanUse = 0;
+        double previousAllowance = 0;
+        for (int second = 0; second < SETTLING_SECONDS + MEASURED_SECONDS; second++) {
+            if (second == SETTLING_SECONDS) {
                 mesh.network.resetCounts();
                 mesh.controlNanos = 0;
             }
             mesh.fetchedInSecond = 0;
             mesh.pass(SECOND);
             double allowance = mesh.allowance();
-            if (second >= SETTLED_SECONDS) {
-                for (int pair = 0; pair < PAIRS / MEASURED_SECONDS; pair++) {
-                    int of = random.nextInt(balancers);
-                    int at = random.nextInt(balancers);
-                    ages.add(of == at ? Double.NaN : mesh.age(of, at));
+            if (second >= SETTLING_SECONDS) {
+                for (int pair = 0; pair < SAMPLED_PAIRS / MEASURED_SECONDS; pair++) {
+                    int subject = random.nextInt(balancers);
+                    int observer = random.nextInt(balancers);
+                    ages.add(subject == observer ? Double.NaN : mesh.age(subject, observer));
                 }
-                double part = mesh.fetchedInSecond / Math.max(before, allowance);
-                worst = Math.max(worst, part);
-                use += part / MEASURED_SECONDS;
+                double usedFraction = mesh.fetchedInSecond / Math.max(previousAllowance, allowance);
+                maxUse = Math.max(maxUse, usedFraction);
+                meanUse += usedFraction / MEASURED_SECONDS;
             }
-            before = allowance;
+            previousAllowance = allowance;
         }
-        String rest = String.format(
+        String ageAndUse = String.format(
                 Locale.ROOT,
                 "%.1f s | %.1f s | %.2f | %.2f | %.3f",
                 percentile(ages, 0.5),
                 percentile(ages, 0.99),
-                worst,
-                use,
+                maxUse,
+                meanUse,
                 100 * mesh.controlShare(MEASURED_SECONDS));
-        traffic("mesh", balancers, mesh.network, rest);
+        printTraffic("mesh", balancers, mesh.network, ageAndUse);
     }
 
     /** By formula: a member, the holder of a site, of a zone too, of a region too, the largest of each. */
     @Test
     public void byFormula() {
-        print("| balancers | leases | messages/s | KB/s, no gifts | KB/s, four gifts |");
+        printRow("| balancers | leases | messages/s | KB/s, no gifts | KB/s, four gifts |");
         for (int balancers : new int[] {20, 100, 160, 320, 640}) {
             Places places = TestPlaces.of(balancers);
             for (int leases = 0; leases < Level.COUNT; leases++) {
-                int held = leases;
-                double messages = most(places, held, 0, true);
-                double least = most(places, held, 0, false);
-                double usual = most(places, held, 4, false);
-                print("| %d | %d | %.0f | %.2f | %.2f |", balancers, leases, messages, least / 1000, usual / 1000);
+                int heldLeases = leases;
+                double messages = maxTraffic(places, heldLeases, 0, true);
+                double minimum = maxTraffic(places, heldLeases, 0, false);
+                double typical = maxTraffic(places, heldLeases, 4, false);
+                printRow(
+                        "| %d | %d | %.0f | %.2f | %.2f |",
+                        balancers, leases, messages, minimum / 1000, typical / 1000);
             }
         }
     }
 
-    private static double most(Places places, int leases, int gifts, boolean messages) {
+    private static double maxTraffic(Places places, int leases, int transfers, boolean messages) {
         return IntStream.range(0, places.balancers())
-                .mapToObj(b -> Sizes.traffic(places, b, leases, gifts, Timing.USUAL))
+                .mapToObj(b -> Sizes.traffic(places, b, leases, transfers, Timing.USUAL))
                 .mapToDouble(t -> messages ? t.messages() : t.bytes())
                 .max()
                 .orElseThrow();
@@ -220,13 +224,13 @@
     /** Seconds from a change at all balancers of one site until others outside of it know half of it. */
     @Test
     public void loadsKnown() {
-        print("| balancers | 50%% know | 99%% know | 100%% know |");
+        printRow("| balancers | 50%% know | 99%% know | 100%% know |");
         for (int balancers : sizes()) {
             Places places = TestPlaces.of(balancers);
             SimulatedTier tier = groups(places, 13);
             Random random = new Random(14);
             churn(tier, random);
-            tier.advance(SETTLED_SECONDS * 3 * SECOND);
+            tier.advance(SETTLING_SECONDS * 3 * SECOND);
             RouterList list = new RouterList(LongStream.rangeClosed(1, ROUTERS).toArray());
             int router = list.indexOf(RouterList.tag(77));
             int[] before = new int[balancers];
@@ -235,19 +239,23 @@
             site.forEach(b -> tier.loads(b)[router] += 20);
             int change = 20 * site.size();
             int others = balancers - site.size();
-            double[] known = new double[3];
-            for (int step = 1; known[2] == 0 && step < 6_000; step++) {
+            double[] knownAfterSeconds = new double[3];
+            for (int step = 1; knownAfterSeconds[2] == 0 && step < 6_000; step++) {
                 tier.advance(SECOND / 10);
-                long know = IntStream.range(0, balancers)
+                long informed = IntStream.range(0, balancers)
                         .filter(b -> !site.contains(b))
                         .filter(b -> tier.exchange(b).remoteLoads(tier.nowMicros)[router] - before[b] >= change / 2)
                         .count();
-                double[] parts = {0.5, 0.99, 1};
-                for (int i = 0; i < parts.length; i++) {
-                    known[i] = known[i] == 0 && know >= parts[i] * others ? step / 10.0 : known[i];
+                double[] fractions = {0.5, 0.99, 1};
+                for (int i = 0; i < fractions.length; i++) {
+                    knownAfterSeconds[i] = knownAfterSeconds[i] == 0 && informed >= fractions[i] * others
+                            ? step / 10.0
+                            : knownAfterSeconds[i];
                 }
             }
-            print("| %d | %.1f s | %.1f s | %.1f s |", balancers, known[0], known[1], known[2]);
+            printRow(
+                    "| %d | %.1f s | %.1f s | %.1f s |",
+                    balancers, knownAfterSeconds[0], knownAfterSeconds[1], knownAfterSeconds[2]);
         }
     }
 
@@ -258,9 +266,9 @@
             Places places = TestPlaces.of(balancers);
             long before = usedHeap();
             SimulatedTier tier = groups(places, 16);
-            tier.advance(SETTLED_SECONDS * SECOND);
-            double each = (usedHeap() - before) / 1024.0 / balancers;
-            print("| %d | %.1f KB for each of %d |", balancers, each, tier.places.balancers());
+            tier.advance(SETTLING_SECONDS * SECOND);
+            double kilobytesPerBalancer = (usedHeap() - before) / 1024.0 / balancers;
+            printRow("| %d | %.1f KB for each of %d |", balancers, kilobytesPerBalancer, tier.places.balancers());
         }
     }
 
@@ -272,7 +280,7 @@
     /** One fault after another, in groups. */
     @Test
     public void faults() {
-        print("| balancers | fault | worst second | use in the worst 10 s | back to 0.9 after |");
+        printRow("| balancers | fault | worst second | use in the worst 10 s | back to 0.9 after |");
         for (int balancers : sizes()) {
             Places places = TestPlaces.of(balancers);
             fault(places, "none", (t, s) -> {});
@@ -293,8 +301,8 @@
             if (places.groups(Level.REGION).size() > 1) {
                 IntPredicate region = b -> places.group(Level.REGION, b).number() == 0;
                 fault(places, "region apart for 120 s and back", (t, s) -> {
-                    boolean apart = s < 120;
-                    t.network.faults.blocked = (from, to) -> apart && region.test(from) != region.test(to);
+                    boolean isolated = s < 120;
+                    t.network.faults.blocked = (from, to) -> isolated && region.test(from) != region.test(to);
                 });
             }
             fault(places, "84 restarts in 168 s", (t, s) -> {
@@ -309,32 +317,34 @@
         }
     }
 
-    private interface Script {
-        void at(SimulatedTier tier, int second);
+    private interface FaultScript {
+        void apply(SimulatedTier tier, int second);
     }
 
-    private static void fault(Places places, String name, Script script) {
+    private static void fault(Places places, String name, FaultScript script) {
         SimulatedTier tier = groups(places, 15);
-        tier.advance(SETTLED_SECONDS * SECOND);
+        tier.advance(SETTLING_SECONDS * SECOND);
         int balancers = places.balancers();
         int seconds = 200;
-        double[] used = new double[seconds];
+        double[] utilization = new double[seconds];
         for (int second = 0; second < seconds; second++) {
-            script.at(tier, second);
+            script.apply(tier, second);
             tier.fetchedInSecond = 0;
             tier.advance(SECOND);
-            used[second] = tier.fetchedInSecond / (ALLOWED_EACH * balancers);
+            utilization[second] = tier.fetchedInSecond / (ALLOWANCE_PER_BALANCER * balancers);
         }
-        double worst = Arrays.stream(used).max().orElseThrow();
-        double least = 9;
-        int lastUnder = -1;
+        double maxUse = Arrays.stream(utilization).max().orElseThrow();
+        double minMeanUse = 9;
+        int lastSecondBelowTarget = -1;
         for (int second = 0; second < seconds; second++) {
-            lastUnder = used[second] < 0.9 ? second : lastUnder;
+            lastSecondBelowTarget = utilization[second] < 0.9 ? second : lastSecondBelowTarget;
             if (second + 10 <= seconds) {
-                double mean = Arrays.stream(used, second, second + 10).average().orElseThrow();
-                least = Math.min(least, mean);
+                double mean = Arrays.stream(utilization, second, second + 10)
+                        .average()
+                        .orElseThrow();
+                minMeanUse = Math.min(minMeanUse, mean);
             }
         }
-        print("| %d | %s | %.2f | %.2f | %d s |", balancers, name, worst, least, lastUnder + 1);
+        printRow("| %d | %s | %.2f | %.2f | %d s |", balancers, name, maxUse, minMeanUse, lastSecondBelowTarget + 1);
     }
 }
