--- a/tier/src/test/java/baymoor/tier/exchange/CreditsTest.java
+++ b/tier/src/test/java/baymoor/tier/exchange/CreditsTest.java
@@ -14,7 +14,7 @@
     private static final String SEED = "4718";
     private static final long SECOND = 1_000_000;
 
-    /** In any second: what comes in, one kept, and the twentieth of a second. */
+    /** In any second at most the accrued credits, one stored credit and the burst are spent. */
     @Property(seed = SEED, tries = 300)
     void spendingPerSecondIsBoundedByRateAndBurst(
             @ForAll @IntRange(min = 0, max = 400) int tenthsPerSecond, @ForAll long seed) {
@@ -23,7 +23,7 @@
         Credits credits = new Credits(0);
         long now = 0;
         for (int second = 0; second < 5; second++) {
-            now += random.nextInt(3) * SECOND; // it may have been at rest before
+            now += random.nextInt(3) * SECOND; // an idle time of up to two seconds
             credits.accrue(now, perSecond);
             int spent = 0;
             for (int step = 0; step < 100; step++) {
--- a/tier/src/test/java/baymoor/tier/exchange/ExchangeExplorationTest.java
+++ b/tier/src/test/java/baymoor/tier/exchange/ExchangeExplorationTest.java
@@ -13,15 +13,15 @@
 import net.jqwik.api.Example;
 
 /**
- * Two groups of two members as whole exchanges: every pattern of lost, late and doubled datagrams in a window after all is
- * settled, every cut of one direction, every restart at every moment. In each epoch after it all parts add up to one at most.
+ * Explores every pattern of lost, delayed and duplicated datagrams, of blocked links and of restarts in a small tier: the shares
+ * of all balancers never add up to more than the allowance.
  */
 class ExchangeExplorationTest {
 
     private static final double ROUNDING = 1e-9;
     private static final int SETTLING_EPOCHS = 9;
     private static final int OBSERVED_EPOCHS = 9;
-    /** Datagrams of an epoch: each member to its sibling, each site to the other one. */
+    /** Datagrams in an epoch of two sites with two members: four between members and two between the sites. */
     private static final int DATAGRAMS_PER_EPOCH = 6;
 
     private static final Places TWO_BY_TWO = TestPlaces.of(4, 2, 1, 1);
@@ -34,13 +34,13 @@
         return tier;
     }
 
-    /** Plays a run to its end; gives the most that all could fetch together in any epoch. */
+    /** Runs a tier to its end and returns the largest total share of any epoch. */
     private static double maxTotalShare(
             ExchangeHarness tier, int restartedBalancer, int restartStep, boolean forgetsSentEpoch) {
         double max = 0;
         for (int epoch = 0; epoch < SETTLING_EPOCHS + OBSERVED_EPOCHS; epoch++) {
             tier.setMissWeight(
-                    tier.balancers() - 1, epoch >= SETTLING_EPOCHS ? 40 : 0); // the demand moves in the window
+                    tier.balancers() - 1, epoch >= SETTLING_EPOCHS ? 40 : 0); // shifts the demand when the faults begin
             tier.runEpoch(epoch == SETTLING_EPOCHS ? restartedBalancer : -1, restartStep, forgetsSentEpoch);
             max = Math.max(max, tier.totalShare());
         }
@@ -139,7 +139,7 @@
         assertTrue(tier.share(1) >= Exchange.GUARANTEED_FRACTION / 4);
     }
 
-    // A mistake in each rule, found by the same exploration.
+    // The exploration must detect a fault in each rule.
 
     @Example
     void detectsSenderThatKeepsTransferredUnits() {
--- a/tier/src/test/java/baymoor/tier/exchange/ExchangeHarness.java
+++ b/tier/src/test/java/baymoor/tier/exchange/ExchangeHarness.java
@@ -7,22 +7,19 @@
 import java.util.List;
 import java.util.function.Function;
 
-/**
- * A few exchanges, stepped through the moments of each epoch, with every datagram's fate chosen by the test: the smallest thing
- * that has two groups of two members each.
- */
+/** A small tier of exchanges that is stepped through each epoch, with the delivery of every datagram chosen by the test. */
 final class ExchangeHarness {
 
-    /** What becomes of a datagram. */
+    /** How a datagram is delivered. */
     enum Delivery {
         DELIVERED,
         DROPPED,
-        /** Arrives two epochs late, overtaken by those after it. */
+        /** Delivered two epochs late, after datagrams that were sent later. */
         DELAYED,
         DUPLICATED
     }
 
-    /** Chooses the fate of each datagram, by its number from the start. */
+    /** Chooses how each datagram is delivered; datagrams are numbered from 0. */
     interface DeliveryPlan {
         Delivery of(int number, int epoch, int from, int to);
     }
@@ -31,7 +28,7 @@
 
     static final int FIRST_EPOCH = 100;
     private static final long EPOCH_MICROS = Timing.USUAL.epochMicros();
-    /** In percent of an epoch: around each moment at which somebody speaks. */
+    /** Times of the steps in percent of an epoch: around each time at which a balancer sends. */
     private static final int[] STEP_PERCENTS = {1, 6, 12, 41, 50, 66, 80, 92};
 
     private final Places places;
@@ -58,7 +55,7 @@
         return new Exchange(places, balancer, balancer, Timing.USUAL, startMicros, rules);
     }
 
-    /** A balancer's misses; they make its weight. */
+    /** Sets a balancer's queued misses, which determine its weight. */
     void setMissWeight(int balancer, double weight) {
         missWeights[balancer] = weight;
     }
@@ -67,12 +64,18 @@
         return exchanges.length;
     }
 
-    /** A new process in the place of the old one; {@code beforeMicros} earlier than now is a mistake. */
+    /** Replaces a balancer's process by a new one that takes the given time for the current time. */
     void restart(int balancer, long nowMicros) {
         exchanges[balancer] = startExchange(balancer, nowMicros);
     }
 
-    /** Runs one epoch; a process restarts at one of its moments, or none does. */
+    /**
+     * Runs one epoch.
+     *
+     * @param restartedBalancer the balancer that restarts, or -1
+     * @param restartStep the step at which it restarts
+     * @param forgetsSentEpoch whether it starts in the previous epoch, so that it may send twice in this one
+     */
     void runEpoch(int restartedBalancer, int restartStep, boolean forgetsSentEpoch) {
         for (int step = 0; step < STEP_PERCENTS.length; step++) {
             long now = epoch * EPOCH_MICROS + STEP_PERCENTS[step] * EPOCH_MICROS / 100;
@@ -110,7 +113,7 @@
         exchanges[to].receive(now, from, datagram, (next, copy) -> {});
     }
 
-    /** What all may fetch together in the present epoch, as a part of the allowance. */
+    /** Returns the sum of all balancers' shares of the allowance in the current epoch. */
     double totalShare() {
         double sum = 0;
         for (Exchange exchange : exchanges) {
--- a/tier/src/test/java/baymoor/tier/exchange/LeaseElectionExplorationTest.java
+++ b/tier/src/test/java/baymoor/tier/exchange/LeaseElectionExplorationTest.java
@@ -11,12 +11,12 @@
 import java.util.Set;
 import net.jqwik.api.Example;
 
-/** The lease, explored: every pattern of lost votes over some epochs, with a child that stands still and wakes. */
+/** Explores every pattern of lost votes over a few epochs, with one child paused: a group never has two holders that commit it. */
 class LeaseElectionExplorationTest {
 
     private static final int FIRST_EPOCH = 10;
 
-    /** Plays some epochs with a message lost for each bit that is set; false where two could bind the group at once. */
+    /** Runs a few epochs in which each set bit loses a message; returns false if two children could act while one commits. */
     private static boolean play(
             int children, int epochs, long lostMessages, int pausedChild, Set<VoteOutcome> bindingOutcomes) {
         List<LeaseElection> elections = new ArrayList<>();
@@ -49,7 +49,7 @@
                 bindingHolders += bindingOutcomes.contains(outcome) ? 1 : 0;
                 holders += outcome == VoteOutcome.NONE ? 0 : 1;
             }
-            // Who may bind the group must be alone, also among those that read for it.
+            // While one child may commit the group, no other one may act for it.
             if (bindingHolders > 0 && holders > 1) {
                 return false;
             }
@@ -121,7 +121,7 @@
         }
         assertEquals(0, elections.get(3).holder(epoch - 1));
         int oldTerm = elections.get(0).term(epoch - 1);
-        // The holder stands still after this.
+        // The holder is paused from here on.
         for (int pausedEpoch = 0; pausedEpoch < 2; pausedEpoch++, epoch++) {
             exchangeVotes(elections, epoch, 0);
             tallyVotes(elections, epoch, 0);
@@ -132,7 +132,7 @@
             exchangeVotes(elections, epoch, 0);
             tallyVotes(elections, epoch, 0);
         }
-        // It wakes: its own vote alone is no lease, and when it hears the new term it votes for that one.
+        // It resumes: its own vote does not suffice, and once it receives the new term it votes for that holder.
         exchangeVotes(elections, epoch, 0);
         tallyVotes(elections, epoch, 0);
         elections.get(0).castVote(epoch);
--- a/tier/src/test/java/baymoor/tier/exchange/LoadReporterTest.java
+++ b/tier/src/test/java/baymoor/tier/exchange/LoadReporterTest.java
@@ -25,7 +25,7 @@
         return (int) CompactCount.BYTE.decode(CompactCount.BYTE.encode(count));
     }
 
-    /** However counts change, no router is older than the length of the list by that of the run. */
+    /** The age of every reported count is bounded by one cycle, however the counts change. */
     @Property(seed = SEED, tries = 200)
     void everyRouterIsReportedWithinOneCycle(
             @ForAll @IntRange(min = 1, max = 400) int routers,
@@ -35,7 +35,7 @@
         RouterList list = routers(routers);
         LoadReporter reporter = new LoadReporter(4, runLength);
         int messagesPerCycle = LoadReporter.messagesPerCycle(list.size(), runLength)
-                + 1; // the run doesn't go on from the end to the beginning
+                + 1; // runs do not wrap around the end of the list
         int[][] history = new int[messagesPerCycle][];
         int[] received = new int[list.size()];
         for (int message = 0; message < 3 * messagesPerCycle; message++) {
--- a/tier/src/test/java/baymoor/tier/exchange/ShareRulesExplorationTest.java
+++ b/tier/src/test/java/baymoor/tier/exchange/ShareRulesExplorationTest.java
@@ -22,9 +22,8 @@
 import net.jqwik.api.constraints.IntRange;
 
 /**
- * The rules of parts, explored whole for a small allowance: whatever children acknowledge, whoever knows which of it when gifts
- * are made, whatever is given of what one owns, and whoever knows which of all that in the end. Then the same with a mistake
- * seeded into each rule, each of which has to be found.
+ * Explores all combinations of acknowledgements, transfers and partial knowledge for a small number of units: the children's
+ * units never exceed the total. The same exploration must detect a fault seeded into each rule.
  */
 class ShareRulesExplorationTest {
 
@@ -48,7 +47,7 @@
         return new Group(level, 0, "z", children, sizeList);
     }
 
-    /** Every way to give away up to {@code maxTotal} units to the others. */
+    /** Returns every way to transfer up to {@code maxTotal} units to the other children. */
     private static List<int[]> transferChoices(int self, int children, int maxTotal) {
         List<int[]> all = new ArrayList<>();
         all.add(new int[Places.LARGEST_GROUP]);
@@ -73,7 +72,12 @@
         return new Commitment(bits, new int[Places.LARGEST_GROUP]);
     }
 
-    /** The acknowledgements of all children from one number, as each one knows its own and those of {@code known}. */
+    /**
+     * Returns a child's log of acknowledgements: its own and those that it knows of.
+     *
+     * @param acknowledgements the acknowledgements of all children, {@code children} bits each
+     * @param known for each child, the bits of the children whose acknowledgements it knows
+     */
     private static CommitmentLog knownCommitments(int children, int acknowledgements, int known, int child) {
         CommitmentLog log = new CommitmentLog(children);
         for (int other = 0; other < children; other++) {
@@ -84,7 +88,7 @@
         return log;
     }
 
-    /** Distinct results: the units of all children, which may not exceed the whole; null where they do. */
+    /** Returns the distinct outcomes, as the units of all children, or null if one of them exceeds the total. */
     private static Set<List<Integer>> explore(RulesFactory factory, int totalUnits, int... sizes) {
         return explore(factory, totalUnits, group(sizes));
     }
@@ -104,7 +108,7 @@
                     continue;
                 }
                 String owners = owners(rules, n, acknowledged, known);
-                // Of what is known when gifts are made, only who takes itself for an owner matters.
+                // What is known when transfers are made matters only for which children own their base.
                 if (explored.add(acknowledged + owners)
                         && !explore(rules, n, acknowledged, owners, totalUnits, results)) {
                     return null;
@@ -114,7 +118,7 @@
         return results;
     }
 
-    /** Leaves out the bits that say nothing: a child about itself. */
+    /** Returns whether no child has a bit for itself; such bits have no effect. */
     private static boolean hasNoSelfBits(int bits, int n) {
         for (int child = 0; child < n; child++) {
             if ((bits >> child * n + child & 1) != 0) {
@@ -147,7 +151,7 @@
             for (int child = 0; child < n; child++) {
                 transfers[child] = choices.get(child).get(choiceIndexes[child]);
             }
-            // Each child's gifts are heard by all others or by none, and it has forgotten them itself or has not.
+            // Each child's transfers are known to all others or to none, and it may have forgotten them itself.
             for (int heardBits = 0; heardBits < 1 << 2 * n; heardBits++) {
                 List<Integer> units =
                         units(rules, n, acknowledged, transfers, heardBits & (1 << n) - 1, heardBits >> n);
@@ -194,7 +198,7 @@
         }
     }
 
-    /** Units of units that the members of two groups have together. */
+    /** Returns the sum of what all members of two groups have: each group's units times each member's. */
     private static int combinedUnits(List<Integer> groups, List<Integer> first, List<Integer> second) {
         int sum = 0;
         for (int member = 0; member < first.size(); member++) {
@@ -219,7 +223,10 @@
             log.put(child, ACKNOWLEDGED_EPOCH, acknowledging(7));
         }
         assertEquals(rules.baseUnits(1), rules.units(log, 1, ACKNOWLEDGED_EPOCH, TRANSFER_EPOCH, acknowledging(0)));
-        assertEquals("it doesn't know what it gave", 0, rules.units(log, 1, ACKNOWLEDGED_EPOCH, TRANSFER_EPOCH, null));
+        assertEquals(
+                "a child that lost its own commitment assumes the maximum transfer",
+                0,
+                rules.units(log, 1, ACKNOWLEDGED_EPOCH, TRANSFER_EPOCH, null));
     }
 
     @Example
@@ -235,7 +242,7 @@
         assertEquals(0, rules.units(log, 2, ACKNOWLEDGED_EPOCH, TRANSFER_EPOCH, noTransfers));
     }
 
-    /** What all know being the same, the parts are the weighted split itself, surplus and draws included. */
+    /** With complete knowledge the units equal the weighted split, including the removal of the surplus by draws. */
     @Property(seed = SEED, tries = 400)
     void withFullConnectivityUnitsEqualWeightedSplit(
             @ForAll @IntRange(min = 1, max = 16) int children, @ForAll long seed) {
@@ -259,7 +266,7 @@
         }
     }
 
-    /** A mistake in one rule. */
+    /** Rules with a fault in one of them. */
     private static class Mutant extends ShareRules {
         Mutant(Group group, int totalUnits) {
             super(group, totalUnits);
@@ -285,7 +292,7 @@
                 for (int other = 0; other < group.children().size(); other++) {
                     Commitment commitment = other == child ? null : log.get(other, epoch);
                     if (commitment != null && !commitment.acknowledges(child)) {
-                        return true; // the word of one is enough
+                        return true; // one child suffices
                     }
                 }
                 return false;
@@ -326,7 +333,7 @@
             @Override
             int units(
                     CommitmentLog log, int child, int acknowledgedEpoch, int transferEpoch, Commitment ownCommitment) {
-                computingUnits = true; // takes more for kept than the others leave it
+                computingUnits = true; // assumes a lower limit than the one that transfers obey
                 int units = super.units(log, child, acknowledgedEpoch, transferEpoch, ownCommitment);
                 computingUnits = false;
                 return units;
@@ -370,7 +377,7 @@
             int units(
                     CommitmentLog log, int child, int acknowledgedEpoch, int transferEpoch, Commitment ownCommitment) {
                 return super.units(
-                        log, child, acknowledgedEpoch, transferEpoch, acknowledging(0)); // keeps what it gave
+                        log, child, acknowledgedEpoch, transferEpoch, acknowledging(0)); // ignores its own transfers
             }
         };
         assertNull(explore(mutant, 5, 2, 2));
