--- a/tier/src/test/java/baymoor/tier/simulation/FaultsTest.java
+++ b/tier/src/test/java/baymoor/tier/simulation/FaultsTest.java
@@ -17,14 +17,14 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-/** Whole tiers in virtual time under every fault that the operators name. */
+/** Runs simulated tiers under network faults, crashes, pauses, restarts and clock skew. */
 class FaultsTest {
 
     private static final String SEED = "4716";
     private static final long STEP_MICROS = 50_000;
     private static final long SECOND = SimulatedTier.SECOND;
     private static final int SETTLING_SECONDS = 14;
-    /** Units are whole, so that a little of the whole stays unused; none may be added. */
+    /** Tolerance for floating-point errors when shares are added up. */
     private static final double ROUNDING = 1e-9;
 
     private static SimulatedTier tier(Places places, long seed) {
@@ -55,7 +55,7 @@
         return -1;
     }
 
-    /** Whatever is lost, late, doubled, cut in one direction, killed, stalled and restarted, of any size. */
+    /** Guards against overcommitment in tiers of any size under random combinations of faults. */
     @Property(seed = SEED, tries = 8)
     void totalShareNeverExceedsAllowanceUnderRandomFaults(
             @ForAll @IntRange(min = 1, max = 700) int balancers, @ForAll long seed) {
@@ -113,7 +113,7 @@
         }
     }
 
-    /** Of the site, zone and region of a balancer that is gone: how many have one that holds their lease by votes. */
+    /** Returns in how many of a lost holder's site, zone and region another balancer holds the lease. */
     private static int replacedLeases(SimulatedTier tier, Places places, int lostHolder) {
         int replaced = 0;
         for (int leases = 1; leases <= 3; leases++) {
@@ -199,7 +199,7 @@
         for (int b = 0; b < 160; b++) {
             members += inFirstRegion.test(b) ? 1 : 0;
         }
-        assertTrue("not the larger half", members < 80);
+        assertTrue("the isolated region must be the smaller part", members < 80);
         tier.network.faults.blocked = (from, to) -> inFirstRegion.test(from) != inFirstRegion.test(to);
         tier.advance((Timing.fallBackEpochs(Level.TIER) + 3) * SECOND);
         assertEquals(Exchange.GUARANTEED_FRACTION * members / 160, tier.totalShare(inFirstRegion), 1e-6);
@@ -214,7 +214,7 @@
             maxFetchRatio = Math.max(maxFetchRatio, tier.fetchedInSecond / 800.0);
             assertTrue(tier.totalShare() <= 1 + ROUNDING);
         }
-        assertTrue("a burst: " + maxFetchRatio, maxFetchRatio < 1.1);
+        assertTrue("fetches exceed the allowance: " + maxFetchRatio, maxFetchRatio < 1.1);
         assertTrue("" + tier.totalShare(inFirstRegion), tier.totalShare(inFirstRegion) > 0.8 * members / 160);
     }
 
@@ -235,7 +235,7 @@
             tier.advance(SECOND);
         }
         assertTrue(tier.exchange(4).counters().previousVersion() > 10);
-        // Its even share is not dealt out again, as its silence to this version's messages is no silence.
+        // Its share is not reallocated, because messages of the previous version keep it alive.
         assertTrue(tier.totalShare() <= 1 - 0.9 / 20);
         assertTrue(tier.totalShare() > 0.9);
     }
@@ -244,7 +244,7 @@
     void withoutHolderMembersKeepGuaranteedShare() {
         SimulatedTier tier = settledTier(20, 11);
         for (int b = 0; b < 6; b++) {
-            tier.kill(b); // six of the ten of a site
+            tier.kill(b); // six of the ten members of a site
         }
         tier.advance(12 * SECOND);
         assertEquals(-1, tier.exchange(7).siteLeaseHolder(tier.nowMicros));
--- a/tier/src/test/java/baymoor/tier/simulation/Network.java
+++ b/tier/src/test/java/baymoor/tier/simulation/Network.java
@@ -8,22 +8,24 @@
 import java.util.Random;
 import java.util.function.BiPredicate;
 
-/** Datagrams between balancers in virtual time: delay by place, loss, doubling, cuts; counts what each sends and gets. */
+/**
+ * A network between balancers in virtual time, with delays by location and injected faults. Counts the traffic of each balancer.
+ */
 public final class Network {
 
-    /** What a test does to datagrams. */
+    /** The faults that a test injects. */
     public static final class Faults {
-        /** The probability that one is lost. */
+        /** The probability that a datagram is lost. */
         public double loss;
-        /** The probability that one arrives twice. */
+        /** The probability that a datagram is delivered twice. */
         public double duplication;
-        /** What may come on top of the delay, evenly drawn. */
+        /** The upper bound of a uniformly distributed delay in addition to that between the locations. */
         public long jitterMicros;
-        /** Whether the way from one balancer to another is cut. */
+        /** Whether datagrams from one balancer to another are dropped. */
         public BiPredicate<Integer, Integer> blocked = (from, to) -> false;
     }
 
-    /** Takes a datagram at its end. */
+    /** Receives delivered datagrams. */
     @FunctionalInterface
     public interface Receiver {
         void receive(int from, int to, byte[] datagram);
@@ -53,7 +55,7 @@
         receivedMessages = new long[places.balancers()];
     }
 
-    /** Between two balancers, by the smallest group that holds both. */
+    /** Returns the delay between two balancers, which depends on the smallest group that contains both. */
     public long delayMicros(int from, int to) {
         int level = 0;
         while (places.group(Level.of(level), from) != places.group(Level.of(level), to)) {
@@ -76,12 +78,12 @@
         }
     }
 
-    /** The time of the next arrival. */
+    /** Returns the time of the next delivery, or {@link Long#MAX_VALUE}. */
     public long nextMicros() {
         return arrivals.isEmpty() ? Long.MAX_VALUE : arrivals.peek().micros();
     }
 
-    /** Hands over all that arrives up to a time. */
+    /** Delivers all datagrams that arrive up to the given time. */
     public void deliver(long nowMicros, Receiver receiver) {
         while (nextMicros() <= nowMicros) {
             Arrival arrival = arrivals.poll();
@@ -91,7 +93,7 @@
         }
     }
 
-    /** Begins to count anew. */
+    /** Resets the traffic counts of all balancers. */
     public void resetCounts() {
         for (long[] counts : new long[][] {sentBytes, receivedBytes, sentMessages, receivedMessages}) {
             java.util.Arrays.fill(counts, 0);
--- a/tier/src/test/java/baymoor/tier/simulation/ScaleComparison.java
+++ b/tier/src/test/java/baymoor/tier/simulation/ScaleComparison.java
@@ -18,7 +18,7 @@
 import org.junit.Test;
 
 /**
- * The full mesh beside the groups, both in virtual time with the real state machines. Not part of the usual tests:
+ * Compares the hierarchical exchange with the full mesh in virtual time. Surefire does not select this class by default:
  *
  * <pre>
  * mvn -q -B -pl tier -am test -Dtest=ScaleComparison -Dsurefire.failIfNoSpecifiedTests=false -Dtier.sizes=20,100
@@ -31,7 +31,7 @@
     private static final int ROUTERS = 180;
     private static final int OUTSTANDING_ATTEMPTS = 40;
     private static final double ALLOWANCE_PER_BALANCER = 5;
-    private static final double HITS_PER_SECOND = 114; // forty out at a time
+    private static final double HITS_PER_SECOND = 114; // keeps forty attempts in flight
     private static final int SETTLING_SECONDS = 16;
     private static final int MEASURED_SECONDS = 20;
     private static final int SAMPLED_PAIRS = 2_000;
@@ -65,7 +65,7 @@
         tier.setRouters(new RouterList(LongStream.rangeClosed(1, ROUTERS).toArray()));
         Random random = new Random(seed);
         for (int b = 0; b < places.balancers(); b++) {
-            // A tenth have learned far too little, as after a bad second of their own.
+            // Every tenth balancer underestimates the allowance by a factor of ten.
             double noise = b % 10 == 9 ? 0.1 : 1 + 0.05 * random.nextGaussian();
             tier.setLearnedRate(b, noise * ALLOWANCE_PER_BALANCER * places.balancers());
             tier.setMissRate(b, missRate(b));
@@ -73,7 +73,7 @@
         return tier;
     }
 
-    /** What is out changes at random, OUT attempts each. */
+    /** Distributes each balancer's attempts in flight over the routers at random. */
     private static void churn(SimulatedTier tier, Random random) {
         for (int b = 0; b < tier.places.balancers(); b++) {
             int[] loads = tier.loads(b);
@@ -195,10 +195,10 @@
         printTraffic("mesh", balancers, mesh.network, ageAndUse);
     }
 
-    /** By formula: a member, the holder of a site, of a zone too, of a region too, the largest of each. */
+    /** Prints the largest estimated traffic of a member, and of holders of one, two and three leases. */
     @Test
     public void byFormula() {
-        printRow("| balancers | leases | messages/s | KB/s, no gifts | KB/s, four gifts |");
+        printRow("| balancers | leases | messages/s | KB/s, no transfers | KB/s, four transfers |");
         for (int balancers : new int[] {20, 100, 160, 320, 640}) {
             Places places = TestPlaces.of(balancers);
             for (int leases = 0; leases < Level.COUNT; leases++) {
@@ -221,7 +221,7 @@
                 .orElseThrow();
     }
 
-    /** Seconds from a change at all balancers of one site until others outside of it know half of it. */
+    /** Prints how long after a change at one site the balancers elsewhere know at least half of it. */
     @Test
     public void loadsKnown() {
         printRow("| balancers | 50%% know | 99%% know | 100%% know |");
@@ -259,7 +259,7 @@
         }
     }
 
-    /** The heap that a tier's exchanges take, with all else of the simulation, for each balancer. */
+    /** Prints the heap used per balancer, including the simulation itself. */
     @Test
     public void memory() {
         for (int balancers : sizes()) {
@@ -277,7 +277,7 @@
         return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
     }
 
-    /** One fault after another, in groups. */
+    /** Prints the use of the allowance under one fault at a time. */
     @Test
     public void faults() {
         printRow("| balancers | fault | worst second | use in the worst 10 s | back to 0.9 after |");
@@ -300,7 +300,7 @@
             });
             if (places.groups(Level.REGION).size() > 1) {
                 IntPredicate region = b -> places.group(Level.REGION, b).number() == 0;
-                fault(places, "region apart for 120 s and back", (t, s) -> {
+                fault(places, "region isolated for 120 s", (t, s) -> {
                     boolean isolated = s < 120;
                     t.network.faults.blocked = (from, to) -> isolated && region.test(from) != region.test(to);
                 });
--- a/tier/src/test/java/baymoor/tier/simulation/SimulatedTier.java
+++ b/tier/src/test/java/baymoor/tier/simulation/SimulatedTier.java
@@ -10,13 +10,13 @@
 import java.util.function.IntPredicate;
 
 /**
- * A tier of exchanges in virtual time, with misses drawn for each balancer and a store that is asked as credits allow. Time goes
- * in steps; what is due in one goes in the order of the balancers' numbers.
+ * A tier of exchanges in virtual time, with random misses at each balancer and fetches limited by credits. Time advances in
+ * fixed steps; events of the same step are processed in the order of the balancers' numbers.
  */
 public final class SimulatedTier {
 
     public static final long SECOND = 1_000_000;
-    /** A miss that has waited so long is given up. */
+    /** The queue holds at most as many misses as arrive in this time on average. */
     private static final int MAX_WAIT_SECONDS = 1;
 
     private static final double EMPTY_QUEUE_WEIGHT = 1;
@@ -41,11 +41,12 @@
     public final Places places;
     public final Network network;
     public long nowMicros = START_MICROS;
-    /** Fetches in the present second, and the sum of all. */
+    /** Fetches of all balancers since a test last reset the count. */
     public long fetchedInSecond;
 
+    /** All fetches since the start. */
     public long fetched;
-    /** Processor time that the exchanges take. */
+    /** Wall-clock time spent in the exchanges. */
     public long controlNanos;
 
     private final Node[] nodes;
@@ -67,7 +68,7 @@
         }
     }
 
-    /** A new process in the place of the old one. */
+    /** Starts a balancer, replacing its previous process if there was one. */
     public void start(int balancer) {
         Node node = nodes[balancer];
         node.down = false;
@@ -82,7 +83,7 @@
         nodes[balancer].down = true;
     }
 
-    /** The process stands still; what arrives waits in its socket, here: is lost but for the last, as buffers are small. */
+    /** Pauses a process; datagrams that arrive in the meantime are lost. */
     public void pause(int balancer, long micros) {
         nodes[balancer].pausedUntilMicros = nowMicros + micros;
     }
@@ -131,12 +132,12 @@
         return isRunning(nodes[balancer]);
     }
 
-    /** The sum of what all that run may fetch in the present epoch, as a part of the allowance. */
+    /** Returns the sum of the shares of all balancers that are not down, paused ones included. */
     public double totalShare() {
         return totalShare(b -> true);
     }
 
-    /** The same of some of them. */
+    /** Returns the same sum for the balancers that match the filter. */
     public double totalShare(IntPredicate filter) {
         double sum = 0;
         for (int b = 0; b < nodes.length; b++) {
@@ -145,7 +146,7 @@
         return sum;
     }
 
-    /** Lets time pass by whole steps. */
+    /** Advances the time by whole steps until at least the given time has passed. */
     public void advance(long micros) {
         for (long end = nowMicros + micros; nowMicros < end; ) {
             nowMicros += stepMicros;
@@ -211,8 +212,8 @@
 
     private Totals totals(Node node) {
         if (node.learnedRate == 0) {
-            node.learnedRate = node.exchange.allowanceRate(
-                    clockMicros(node)); // as today: who has learnt nothing goes by the others
+            node.learnedRate =
+                    node.exchange.allowanceRate(clockMicros(node)); // a new process adopts the others' estimate
         }
         double weight = Math.max(EMPTY_QUEUE_WEIGHT, node.queued + node.fetchedLastEpoch);
         node.smoothedWeight = (node.smoothedWeight + weight) / 2;
@@ -230,7 +231,10 @@
                 age);
     }
 
-    /** How old on average what a balancer knows of all outside its site is, in seconds; figures carry their time here. */
+    /**
+     * Returns the mean age in seconds of what a balancer knows of all balancers outside its site, or NaN. The simulation sends
+     * each report's time in the totals' count of failures.
+     */
     public double outsideAgeSeconds(int balancer) {
         Totals outside = nodes[balancer].exchange.totalsOutsideSite(clockMicros(nodes[balancer]));
         return outside.members() == 0
--- a/tier/src/test/java/baymoor/tier/simulation/TestPlaces.java
+++ b/tier/src/test/java/baymoor/tier/simulation/TestPlaces.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Tiers of any size, laid out like the one that is coming: sites of some 13, four sites a zone, five regions at most. */
+/** Creates tiers of any size with about 13 balancers per site, four sites per zone and at most five regions. */
 public final class TestPlaces {
 
     private static final int SITE_SIZE = 13;
@@ -14,7 +14,7 @@
 
     private TestPlaces() {}
 
-    /** As even as the numbers allow. */
+    /** Returns a tier with the given number of balancers, spread as evenly as possible. */
     public static Places of(int balancers) {
         int sites = Math.max(1, (int) Math.round(balancers * 49 / 640.0));
         int zones = Math.max(1, (int) Math.round(sites / SITES_PER_ZONE));
@@ -22,7 +22,7 @@
         return of(balancers, sites, zones, regions);
     }
 
-    /** With these numbers of groups. */
+    /** Returns a tier with the given numbers of balancers and groups. */
     public static Places of(int balancers, int sites, int zones, int regions) {
         List<Places.Site> all = new ArrayList<>();
         Map<String, String> regionOfZone = new LinkedHashMap<>();
@@ -40,7 +40,7 @@
         return new Places(all, regionOfZone);
     }
 
-    /** The size that sites of this layout have. */
+    /** Returns the typical number of balancers per site. */
     public static int defaultSiteSize() {
         return SITE_SIZE;
     }
--- a/tier/src/test/java/baymoor/tier/simulation/TrafficTest.java
+++ b/tier/src/test/java/baymoor/tier/simulation/TrafficTest.java
@@ -10,12 +10,12 @@
 import java.util.stream.LongStream;
 import org.junit.Test;
 
-/** What the formula says messages come to, beside what is sent, and within the operators' budget. */
+/** Checks the traffic estimate against the traffic budget and against simulated traffic. */
 public class TrafficTest {
 
     private static final long SECOND = SimulatedTier.SECOND;
     private static final int ROUTERS = 180;
-    /** Siblings that a message gives to on average: measured ones are below. */
+    /** The average number of siblings that a message transfers units to. */
     private static final int TRANSFERS = 3;
 
     @Test
