--- a/tier/src/main/java/baymoor/tier/exchange/Exchange.java
+++ b/tier/src/main/java/baymoor/tier/exchange/Exchange.java
@@ -312,7 +312,7 @@
             return;
         }
         int age = epoch - message.epoch();
-        if (age > Timing.MAX_AGE_EPOCHS || age < -Timing.MAX_LEAD_EPOCHS) {
+        if (age > Timing.MAX_AGE_EPOCHS || age < -Timing.MAX_FUTURE_EPOCHS) {
             counters.outsideWindow++;
             return;
         }
--- a/tier/src/main/java/baymoor/tier/exchange/GroupMember.java
+++ b/tier/src/main/java/baymoor/tier/exchange/GroupMember.java
@@ -28,7 +28,7 @@
 
     /** The state of a sibling according to its last message. */
     private static final class Sibling {
-        int epoch = NEVER;
+        int lastEpoch = NEVER;
         int representative = Digest.UNKNOWN;
         int incarnation;
         int sequence = -1;
@@ -139,7 +139,7 @@
     /** Returns the units transferred to each sibling; none unless the child is sure to own its base in the target epoch. */
     private int[] transfers(int epoch) {
         int targetEpoch = epoch + Timing.transferLead(level());
-        if (!rules.ownsBase(log, self, targetEpoch - Timing.acknowledgeLead(level()))) {
+        if (!rules.ownsBase(log, self, targetEpoch - Timing.acknowledgementLead(level()))) {
             return new int[Places.LARGEST_GROUP];
         }
         double[] weights = new double[siblings.length];
@@ -156,7 +156,7 @@
     }
 
     private boolean isFresh(int child, int epoch) {
-        return child == self || siblings[child].epoch >= epoch - Timing.FRESHNESS_EPOCHS;
+        return child == self || siblings[child].lastEpoch >= epoch - Timing.FRESHNESS_EPOCHS;
     }
 
     /**
@@ -176,8 +176,8 @@
         }
         // If two balancers represent a child in one epoch, the one that may commit it takes precedence.
         boolean binding = message.commitment() != null;
-        if (message.epoch() > sibling.epoch || message.epoch() == sibling.epoch && binding) {
-            sibling.epoch = message.epoch();
+        if (message.epoch() > sibling.lastEpoch || message.epoch() == sibling.lastEpoch && binding) {
+            sibling.lastEpoch = message.epoch();
             sibling.representative = message.speaker();
             sibling.previousVersion = false;
             sibling.totals = message.totals();
@@ -215,7 +215,7 @@
      */
     boolean receivePrevious(int child, int epoch, PreviousVersion.Figures figures) {
         Sibling sibling = siblings[child];
-        if (!sibling.previousVersion && sibling.epoch >= epoch - Timing.MAX_AGE_EPOCHS) {
+        if (!sibling.previousVersion && sibling.lastEpoch >= epoch - Timing.MAX_AGE_EPOCHS) {
             return false;
         }
         boolean outdated = figures.incarnation() == sibling.incarnation && figures.sequence() <= sibling.sequence;
@@ -225,7 +225,7 @@
         sibling.previousVersion = true;
         sibling.incarnation = figures.incarnation();
         sibling.sequence = figures.sequence();
-        sibling.epoch = Math.max(sibling.epoch, epoch);
+        sibling.lastEpoch = Math.max(sibling.lastEpoch, epoch);
         sibling.totals = figures.totals();
         return true;
     }
@@ -233,8 +233,9 @@
     /** Returns the child's share of the group's dynamic allowance in an epoch, from 0 to 1. */
     double shareOfGroup(int epoch) {
         int transferEpoch = epoch - Timing.transferLead(level());
-        int acknowledgedEpoch = epoch - Timing.acknowledgeLead(level());
-        return (double) rules.units(log, self, acknowledgedEpoch, transferEpoch, ownCommitments.get(0, transferEpoch))
+        int acknowledgementEpoch = epoch - Timing.acknowledgementLead(level());
+        return (double) rules.units(
+                        log, self, acknowledgementEpoch, transferEpoch, ownCommitments.get(0, transferEpoch))
                 / ShareRules.TOTAL_UNITS;
     }
 
--- a/tier/src/main/java/baymoor/tier/exchange/LeaseElection.java
+++ b/tier/src/main/java/baymoor/tier/exchange/LeaseElection.java
@@ -22,10 +22,10 @@
     private static final int NEVER = Integer.MIN_VALUE / 2;
 
     private final int self;
-    private final int[] lastHeardEpoch;
-    private final int[] voteEpoch;
-    private final int[] vote;
-    private final int[] claimedTerm;
+    private final int[] lastHeardEpochs;
+    private final int[] voteEpochs;
+    private final int[] votes;
+    private final int[] claimedTerms;
     private final int toleratedSilence;
     private int ownTerm;
     private int highestTerm;
@@ -34,15 +34,15 @@
 
     LeaseElection(int self, int children) {
         this.self = self;
-        lastHeardEpoch = filled(children, NEVER);
-        voteEpoch = filled(children, NEVER);
-        vote = new int[children];
-        claimedTerm = new int[children];
+        lastHeardEpochs = filledArray(children, NEVER);
+        voteEpochs = filledArray(children, NEVER);
+        votes = new int[children];
+        claimedTerms = new int[children];
         // In a group of two, losing a single message would otherwise create a second holder.
         toleratedSilence = children > 2 ? 1 : 2;
     }
 
-    private static int[] filled(int length, int value) {
+    private static int[] filledArray(int length, int value) {
         int[] array = new int[length];
         Arrays.fill(array, value);
         return array;
@@ -50,13 +50,13 @@
 
     /** Processes a sibling's vote; one that is older than the last, or repeats it, is ignored. */
     void receive(int child, int epoch, int votedFor, int term, boolean claims) {
-        if (epoch <= lastHeardEpoch[child]) {
+        if (epoch <= lastHeardEpochs[child]) {
             return;
         }
-        lastHeardEpoch[child] = epoch;
-        voteEpoch[child] = epoch;
-        vote[child] = votedFor;
-        claimedTerm[child] = claims ? term : 0;
+        lastHeardEpochs[child] = epoch;
+        voteEpochs[child] = epoch;
+        votes[child] = votedFor;
+        claimedTerms[child] = claims ? term : 0;
         highestTerm = Math.max(highestTerm, term);
     }
 
@@ -64,40 +64,40 @@
     int castVote(int epoch) {
         int best = -1;
         int claimants = 0;
-        for (int child = 0; child < vote.length; child++) {
+        for (int child = 0; child < votes.length; child++) {
             if (activeTerm(child, epoch) > 0) {
                 claimants++;
                 best = best < 0 || activeTerm(child, epoch) > activeTerm(best, epoch) ? child : best;
             }
         }
         conflictingClaims += claimants > 1 ? 1 : 0;
-        for (int child = 0; child < vote.length && best < 0; child++) {
+        for (int child = 0; child < votes.length && best < 0; child++) {
             best = isFresh(child, epoch) ? child : best;
         }
-        lastHeardEpoch[self] = epoch;
-        voteEpoch[self] = epoch;
-        vote[self] = best;
+        lastHeardEpochs[self] = epoch;
+        voteEpochs[self] = epoch;
+        votes[self] = best;
         return best;
     }
 
     private boolean isFresh(int child, int epoch) {
-        return child == self || lastHeardEpoch[child] >= epoch - toleratedSilence;
+        return child == self || lastHeardEpochs[child] >= epoch - toleratedSilence;
     }
 
     private int activeTerm(int child, int epoch) {
         if (child == self) {
             return claimsLease(epoch) ? ownTerm : 0;
         }
-        return isFresh(child, epoch) ? claimedTerm[child] : 0;
+        return isFresh(child, epoch) ? claimedTerms[child] : 0;
     }
 
     /** Tallies the votes of an epoch, including this child's own. A new holder starts a new term. */
     VoteOutcome tally(int epoch) {
         int ownVotes = 0;
-        for (int child = 0; child < vote.length; child++) {
-            ownVotes += voteEpoch[child] == epoch && vote[child] == self ? 1 : 0;
+        for (int child = 0; child < votes.length; child++) {
+            ownVotes += voteEpochs[child] == epoch && votes[child] == self ? 1 : 0;
         }
-        if (2 * ownVotes < vote.length || vote[self] != self) {
+        if (2 * ownVotes < votes.length || votes[self] != self) {
             return VoteOutcome.NONE;
         }
         if (!claimsLease(epoch)) {
@@ -105,7 +105,7 @@
             highestTerm = ownTerm;
         }
         lastHeldEpoch = epoch;
-        return 2 * ownVotes > vote.length ? VoteOutcome.MAJORITY : VoteOutcome.HALF;
+        return 2 * ownVotes > votes.length ? VoteOutcome.MAJORITY : VoteOutcome.HALF;
     }
 
     /** Returns whether this child claims the lease. */
@@ -121,7 +121,7 @@
     /** Returns the live child that claims the lease with the highest term, or -1 if there is none. */
     int holder(int epoch) {
         int best = -1;
-        for (int child = 0; child < vote.length; child++) {
+        for (int child = 0; child < votes.length; child++) {
             if (activeTerm(child, epoch) > 0 && (best < 0 || activeTerm(child, epoch) > activeTerm(best, epoch))) {
                 best = child;
             }
--- a/tier/src/main/java/baymoor/tier/exchange/ShareRules.java
+++ b/tier/src/main/java/baymoor/tier/exchange/ShareRules.java
@@ -52,10 +52,10 @@
      * Returns whether a child owns its base in an epoch: the children known to acknowledge it, including itself, have at least
      * half of all members, so that no majority can revoke the base.
      */
-    boolean ownsBase(CommitmentLog log, int child, int acknowledgedEpoch) {
+    boolean ownsBase(CommitmentLog log, int child, int acknowledgementEpoch) {
         int acknowledging = group.sizes().get(child);
         for (int other = 0; other < baseUnits.length; other++) {
-            Commitment commitment = other == child ? null : log.get(other, acknowledgedEpoch);
+            Commitment commitment = other == child ? null : log.get(other, acknowledgementEpoch);
             if (commitment != null && commitment.acknowledges(child)) {
                 acknowledging += group.sizes().get(other);
             }
@@ -64,10 +64,10 @@
     }
 
     /** Returns whether a child's base is revoked: children with a majority of all members did not acknowledge it. */
-    boolean baseRevoked(CommitmentLog log, int child, int acknowledgedEpoch) {
+    boolean isBaseRevoked(CommitmentLog log, int child, int acknowledgementEpoch) {
         int unacknowledging = 0;
         for (int other = 0; other < baseUnits.length; other++) {
-            Commitment commitment = other == child ? null : log.get(other, acknowledgedEpoch);
+            Commitment commitment = other == child ? null : log.get(other, acknowledgementEpoch);
             if (commitment != null && !commitment.acknowledges(child)) {
                 unacknowledging += group.sizes().get(other);
             }
@@ -85,14 +85,14 @@
     /**
      * Returns the units that a child has in an epoch.
      *
-     * @param acknowledgedEpoch the epoch in which the acknowledgements for this epoch were made
+     * @param acknowledgementEpoch the epoch in which the acknowledgements for this epoch were made
      * @param transferEpoch the epoch in which the transfers for this epoch were made
      * @param ownCommitment the child's own commitment of the transfer epoch, or null if unknown, in which case the maximum
      *     transfer is assumed
      */
-    int units(CommitmentLog log, int child, int acknowledgedEpoch, int transferEpoch, Commitment ownCommitment) {
+    int units(CommitmentLog log, int child, int acknowledgementEpoch, int transferEpoch, Commitment ownCommitment) {
         long units = 0;
-        if (ownsBase(log, child, acknowledgedEpoch)) {
+        if (ownsBase(log, child, acknowledgementEpoch)) {
             units += baseUnits[child] - (ownCommitment == null ? maxTransfer(child) : ownCommitment.given());
         }
         for (int other = 0; other < baseUnits.length; other++) {
@@ -101,7 +101,7 @@
             }
             Commitment commitment = log.get(other, transferEpoch);
             units += commitment == null ? 0 : commitment.gives()[child];
-            units += baseRevoked(log, other, acknowledgedEpoch) ? reassignedUnits(other, child) : 0;
+            units += isBaseRevoked(log, other, acknowledgementEpoch) ? reassignedUnits(other, child) : 0;
         }
         return (int) Math.max(0, units);
     }
--- a/tier/src/main/java/baymoor/tier/exchange/Timing.java
+++ b/tier/src/main/java/baymoor/tier/exchange/Timing.java
@@ -22,7 +22,7 @@
     static final int MAX_AGE_EPOCHS = 4;
 
     /** Messages from epochs further in the future are dropped. */
-    static final int MAX_LEAD_EPOCHS = 1;
+    static final int MAX_FUTURE_EPOCHS = 1;
 
     private static final double SITE_SEND_SPREAD = 0.15;
     private static final double[] SEND_OFFSETS = {0, 0.4, 0.65, 0.9};
@@ -44,7 +44,7 @@
     }
 
     /** Returns how many epochs ahead they commit to acknowledgements, early enough to be known when transfers are made. */
-    static int acknowledgeLead(Level level) {
+    static int acknowledgementLead(Level level) {
         return transferLead(level) + 2;
     }
 
@@ -55,11 +55,11 @@
 
     /** Returns the epochs after which a child that receives nothing from its siblings falls back to its guaranteed share. */
     public static int fallBackEpochs(Level level) {
-        return acknowledgeLead(level) + 1;
+        return acknowledgementLead(level) + 1;
     }
 
     /** Returns the epochs after a child's last message until its siblings may use its units. */
     public static int reallocationEpochs(Level level) {
-        return acknowledgeLead(level) + FRESHNESS_EPOCHS + 1;
+        return acknowledgementLead(level) + FRESHNESS_EPOCHS + 1;
     }
 }
--- a/tier/src/test/java/baymoor/tier/exchange/ExchangeExplorationTest.java
+++ b/tier/src/test/java/baymoor/tier/exchange/ExchangeExplorationTest.java
@@ -146,9 +146,17 @@
         Function<Group, ShareRules> mutant = group -> new ShareRules(group) {
             @Override
             int units(
-                    CommitmentLog log, int child, int acknowledgedEpoch, int transferEpoch, Commitment ownCommitment) {
+                    CommitmentLog log,
+                    int child,
+                    int acknowledgementEpoch,
+                    int transferEpoch,
+                    Commitment ownCommitment) {
                 return super.units(
-                        log, child, acknowledgedEpoch, transferEpoch, ownCommitment == null ? null : emptyCommitment());
+                        log,
+                        child,
+                        acknowledgementEpoch,
+                        transferEpoch,
+                        ownCommitment == null ? null : emptyCommitment());
             }
         };
         assertTrue(explore(mutant, 1, Delivery.DROPPED) > 1 + ROUNDING);
@@ -158,17 +166,21 @@
     void detectsRestartedProcessThatAssumesNoTransfers() {
         Function<Group, ShareRules> mutant = group -> new ShareRules(group) {
             @Override
-            boolean ownsBase(CommitmentLog log, int child, int acknowledgedEpoch) {
+            boolean ownsBase(CommitmentLog log, int child, int acknowledgementEpoch) {
                 return true;
             }
 
             @Override
             int units(
-                    CommitmentLog log, int child, int acknowledgedEpoch, int transferEpoch, Commitment ownCommitment) {
+                    CommitmentLog log,
+                    int child,
+                    int acknowledgementEpoch,
+                    int transferEpoch,
+                    Commitment ownCommitment) {
                 return super.units(
                         log,
                         child,
-                        acknowledgedEpoch,
+                        acknowledgementEpoch,
                         transferEpoch,
                         ownCommitment == null ? emptyCommitment() : ownCommitment);
             }
@@ -180,7 +192,7 @@
     void detectsBaseOwnershipWithoutAcknowledgements() {
         Function<Group, ShareRules> mutant = group -> new ShareRules(group) {
             @Override
-            boolean ownsBase(CommitmentLog log, int child, int acknowledgedEpoch) {
+            boolean ownsBase(CommitmentLog log, int child, int acknowledgementEpoch) {
                 return true;
             }
         };
@@ -191,9 +203,9 @@
     void detectsReassignmentWithoutMajority() {
         Function<Group, ShareRules> mutant = group -> new ShareRules(group) {
             @Override
-            boolean baseRevoked(CommitmentLog log, int child, int acknowledgedEpoch) {
+            boolean isBaseRevoked(CommitmentLog log, int child, int acknowledgementEpoch) {
                 for (int other = 0; other < group.children().size(); other++) {
-                    Commitment commitment = other == child ? null : log.get(other, acknowledgedEpoch);
+                    Commitment commitment = other == child ? null : log.get(other, acknowledgementEpoch);
                     if (commitment != null && !commitment.acknowledges(child)) {
                         return true;
                     }
--- a/tier/src/test/java/baymoor/tier/exchange/LeaseElectionExplorationTest.java
+++ b/tier/src/test/java/baymoor/tier/exchange/LeaseElectionExplorationTest.java
@@ -17,7 +17,7 @@
     private static final int FIRST_EPOCH = 10;
 
     /** Runs a few epochs in which each set bit loses a message; returns false if two children could act while one commits. */
-    private static boolean play(
+    private static boolean runEpochs(
             int children, int epochs, long lostMessages, int pausedChild, Set<VoteOutcome> bindingOutcomes) {
         List<LeaseElection> elections = new ArrayList<>();
         for (int child = 0; child < children; child++) {
@@ -25,11 +25,11 @@
         }
         int message = 0;
         for (int epoch = FIRST_EPOCH; epoch < FIRST_EPOCH + epochs; epoch++) {
-            int[] vote = new int[children];
+            int[] votes = new int[children];
             boolean[] claims = new boolean[children];
             int[] term = new int[children];
             for (int child = 0; child < children; child++) {
-                vote[child] = elections.get(child).castVote(epoch);
+                votes[child] = elections.get(child).castVote(epoch);
                 claims[child] = elections.get(child).claimsLease(epoch);
                 term[child] = elections.get(child).term(epoch);
             }
@@ -38,7 +38,7 @@
                     boolean silenced =
                             pausedChild == from && epoch > FIRST_EPOCH + 1 && epoch < FIRST_EPOCH + epochs - 1;
                     if (from != to && (lostMessages >> message++ & 1) == 0 && !silenced) {
-                        elections.get(to).receive(from, epoch, vote[from], term[from], claims[from]);
+                        elections.get(to).receive(from, epoch, votes[from], term[from], claims[from]);
                     }
                 }
             }
@@ -61,7 +61,7 @@
         int messages = children * (children - 1) * epochs;
         for (int pausedChild = -1; pausedChild < children; pausedChild++) {
             for (long lostMessages = 0; lostMessages < 1L << messages; lostMessages++) {
-                if (!play(children, epochs, lostMessages, pausedChild, bindingOutcomes)) {
+                if (!runEpochs(children, epochs, lostMessages, pausedChild, bindingOutcomes)) {
                     return false;
                 }
             }
@@ -81,15 +81,15 @@
     }
 
     private static void exchangeVotes(List<LeaseElection> elections, int epoch, int silentChild) {
-        int[] cast = new int[elections.size()];
-        for (int child = 0; child < cast.length; child++) {
-            cast[child] = child == silentChild ? -1 : elections.get(child).castVote(epoch);
+        int[] votes = new int[elections.size()];
+        for (int child = 0; child < votes.length; child++) {
+            votes[child] = child == silentChild ? -1 : elections.get(child).castVote(epoch);
         }
-        for (int from = 0; from < cast.length; from++) {
+        for (int from = 0; from < votes.length; from++) {
             LeaseElection sender = elections.get(from);
-            for (int to = 0; to < cast.length; to++) {
+            for (int to = 0; to < votes.length; to++) {
                 if (from != to && from != silentChild && to != silentChild) {
-                    elections.get(to).receive(from, epoch, cast[from], sender.term(epoch), sender.claimsLease(epoch));
+                    elections.get(to).receive(from, epoch, votes[from], sender.term(epoch), sender.claimsLease(epoch));
                 }
             }
         }
--- a/tier/src/test/java/baymoor/tier/exchange/ShareRulesExplorationTest.java
+++ b/tier/src/test/java/baymoor/tier/exchange/ShareRulesExplorationTest.java
@@ -28,7 +28,7 @@
 class ShareRulesExplorationTest {
 
     private static final String SEED = "4715";
-    private static final int ACKNOWLEDGED_EPOCH = 1;
+    private static final int ACKNOWLEDGEMENT_EPOCH = 1;
     private static final int TRANSFER_EPOCH = 2;
 
     private interface RulesFactory extends BiFunction<Group, Integer, ShareRules> {}
@@ -82,7 +82,7 @@
         CommitmentLog log = new CommitmentLog(children);
         for (int other = 0; other < children; other++) {
             if (other == child || (known >> child * children + other & 1) != 0) {
-                log.put(other, ACKNOWLEDGED_EPOCH, acknowledging(acknowledgements >> other * children));
+                log.put(other, ACKNOWLEDGEMENT_EPOCH, acknowledging(acknowledgements >> other * children));
             }
         }
         return log;
@@ -132,7 +132,7 @@
         StringBuilder owners = new StringBuilder();
         for (int child = 0; child < n; child++) {
             owners.append(
-                    rules.ownsBase(knownCommitments(n, acknowledged, known, child), child, ACKNOWLEDGED_EPOCH)
+                    rules.ownsBase(knownCommitments(n, acknowledged, known, child), child, ACKNOWLEDGEMENT_EPOCH)
                             ? '1'
                             : '0');
         }
@@ -181,7 +181,7 @@
                 }
             }
             Commitment ownCommitment = (forgottenBits >> child & 1) != 0 ? null : new Commitment(0, transfers[child]);
-            units[child] = rules.units(log, child, ACKNOWLEDGED_EPOCH, TRANSFER_EPOCH, ownCommitment);
+            units[child] = rules.units(log, child, ACKNOWLEDGEMENT_EPOCH, TRANSFER_EPOCH, ownCommitment);
         }
         return List.of(units);
     }
@@ -220,26 +220,26 @@
         ShareRules rules = new ShareRules(group(1, 1, 1));
         CommitmentLog log = new CommitmentLog(3);
         for (int child = 0; child < 3; child++) {
-            log.put(child, ACKNOWLEDGED_EPOCH, acknowledging(7));
+            log.put(child, ACKNOWLEDGEMENT_EPOCH, acknowledging(7));
         }
-        assertEquals(rules.baseUnits(1), rules.units(log, 1, ACKNOWLEDGED_EPOCH, TRANSFER_EPOCH, acknowledging(0)));
+        assertEquals(rules.baseUnits(1), rules.units(log, 1, ACKNOWLEDGEMENT_EPOCH, TRANSFER_EPOCH, acknowledging(0)));
         assertEquals(
                 "a child that lost its own commitment assumes the maximum transfer",
                 0,
-                rules.units(log, 1, ACKNOWLEDGED_EPOCH, TRANSFER_EPOCH, null));
+                rules.units(log, 1, ACKNOWLEDGEMENT_EPOCH, TRANSFER_EPOCH, null));
     }
 
     @Example
     void majorityTakesBaseUnitsOfUnheardChild() {
         ShareRules rules = new ShareRules(group(1, 1, 1), 10);
         CommitmentLog log = new CommitmentLog(3);
-        log.put(0, ACKNOWLEDGED_EPOCH, acknowledging(0b011));
-        log.put(1, ACKNOWLEDGED_EPOCH, acknowledging(0b011));
-        log.put(2, ACKNOWLEDGED_EPOCH, acknowledging(0b100));
+        log.put(0, ACKNOWLEDGEMENT_EPOCH, acknowledging(0b011));
+        log.put(1, ACKNOWLEDGEMENT_EPOCH, acknowledging(0b011));
+        log.put(2, ACKNOWLEDGEMENT_EPOCH, acknowledging(0b100));
         Commitment noTransfers = acknowledging(0);
-        assertEquals(4, rules.units(log, 0, ACKNOWLEDGED_EPOCH, TRANSFER_EPOCH, noTransfers));
-        assertEquals(4, rules.units(log, 1, ACKNOWLEDGED_EPOCH, TRANSFER_EPOCH, noTransfers));
-        assertEquals(0, rules.units(log, 2, ACKNOWLEDGED_EPOCH, TRANSFER_EPOCH, noTransfers));
+        assertEquals(4, rules.units(log, 0, ACKNOWLEDGEMENT_EPOCH, TRANSFER_EPOCH, noTransfers));
+        assertEquals(4, rules.units(log, 1, ACKNOWLEDGEMENT_EPOCH, TRANSFER_EPOCH, noTransfers));
+        assertEquals(0, rules.units(log, 2, ACKNOWLEDGEMENT_EPOCH, TRANSFER_EPOCH, noTransfers));
     }
 
     /** With complete knowledge the units equal the weighted split, including the removal of the surplus by draws. */
@@ -254,7 +254,7 @@
         CommitmentLog log = new CommitmentLog(children);
         long total = 0;
         for (int child = 0; child < children; child++) {
-            log.put(child, ACKNOWLEDGED_EPOCH, acknowledging(0xffff));
+            log.put(child, ACKNOWLEDGEMENT_EPOCH, acknowledging(0xffff));
             log.put(child, TRANSFER_EPOCH, new Commitment(0, rules.transfers(child, weights, draws)));
             total += rules.baseUnits(child);
         }
@@ -262,7 +262,7 @@
         for (int child = 0; child < children; child++) {
             assertEquals(
                     split[child],
-                    rules.units(log, child, ACKNOWLEDGED_EPOCH, TRANSFER_EPOCH, log.get(child, TRANSFER_EPOCH)));
+                    rules.units(log, child, ACKNOWLEDGEMENT_EPOCH, TRANSFER_EPOCH, log.get(child, TRANSFER_EPOCH)));
         }
     }
 
@@ -288,7 +288,7 @@
     void detectsRevocationWithoutMajority() {
         RulesFactory mutant = (group, totalUnits) -> new Mutant(group, totalUnits) {
             @Override
-            boolean baseRevoked(CommitmentLog log, int child, int epoch) {
+            boolean isBaseRevoked(CommitmentLog log, int child, int epoch) {
                 for (int other = 0; other < group.children().size(); other++) {
                     Commitment commitment = other == child ? null : log.get(other, epoch);
                     if (commitment != null && !commitment.acknowledges(child)) {
@@ -307,11 +307,15 @@
         RulesFactory mutant = (group, totalUnits) -> new Mutant(group, totalUnits) {
             @Override
             int units(
-                    CommitmentLog log, int child, int acknowledgedEpoch, int transferEpoch, Commitment ownCommitment) {
+                    CommitmentLog log,
+                    int child,
+                    int acknowledgementEpoch,
+                    int transferEpoch,
+                    Commitment ownCommitment) {
                 return super.units(
                         log,
                         child,
-                        acknowledgedEpoch,
+                        acknowledgementEpoch,
                         transferEpoch,
                         ownCommitment == null ? acknowledging(0) : ownCommitment);
             }
@@ -332,9 +336,13 @@
 
             @Override
             int units(
-                    CommitmentLog log, int child, int acknowledgedEpoch, int transferEpoch, Commitment ownCommitment) {
+                    CommitmentLog log,
+                    int child,
+                    int acknowledgementEpoch,
+                    int transferEpoch,
+                    Commitment ownCommitment) {
                 computingUnits = true; // assumes a lower limit than the one that transfers obey
-                int units = super.units(log, child, acknowledgedEpoch, transferEpoch, ownCommitment);
+                int units = super.units(log, child, acknowledgementEpoch, transferEpoch, ownCommitment);
                 computingUnits = false;
                 return units;
             }
@@ -363,8 +371,12 @@
 
             @Override
             int units(
-                    CommitmentLog log, int child, int acknowledgedEpoch, int transferEpoch, Commitment ownCommitment) {
-                return super.units(log, child, acknowledgedEpoch, transferEpoch, ownCommitment) + 1;
+                    CommitmentLog log,
+                    int child,
+                    int acknowledgementEpoch,
+                    int transferEpoch,
+                    Commitment ownCommitment) {
+                return super.units(log, child, acknowledgementEpoch, transferEpoch, ownCommitment) + 1;
             }
         };
         assertNull(explore(mutant, 5, 2, 2));
@@ -375,9 +387,13 @@
         RulesFactory mutant = (group, totalUnits) -> new Mutant(group, totalUnits) {
             @Override
             int units(
-                    CommitmentLog log, int child, int acknowledgedEpoch, int transferEpoch, Commitment ownCommitment) {
+                    CommitmentLog log,
+                    int child,
+                    int acknowledgementEpoch,
+                    int transferEpoch,
+                    Commitment ownCommitment) {
                 return super.units(
-                        log, child, acknowledgedEpoch, transferEpoch, acknowledging(0)); // ignores its own transfers
+                        log, child, acknowledgementEpoch, transferEpoch, acknowledging(0)); // ignores its own transfers
             }
         };
         assertNull(explore(mutant, 5, 2, 2));
