--- a/tier/src/main/java/baymoor/tier/exchange/Credits.java
+++ b/tier/src/main/java/baymoor/tier/exchange/Credits.java
@@ -19,7 +19,11 @@
         lastAccrualMicros = nowMicros;
     }
 
-    /** Adds the credits accrued since the last call. A clock that moved backwards adds none. */
+    /**
+     * Adds the credits accrued since the last call. A clock that moved backwards adds none.
+     *
+     * @param perSecond the current rate of accrual in credits per second
+     */
     public void accrue(long nowMicros, double perSecond) {
         double limit = 1 + BURST_SECONDS * perSecond;
         double elapsed = Math.max(0, nowMicros - lastAccrualMicros) / MICROS_PER_SECOND;
--- a/tier/src/main/java/baymoor/tier/exchange/LeaseElection.java
+++ b/tier/src/main/java/baymoor/tier/exchange/LeaseElection.java
@@ -108,7 +108,7 @@
         return 2 * ownVotes > votes.length ? VoteOutcome.MAJORITY : VoteOutcome.HALF;
     }
 
-    /** Returns whether this child claims the lease. */
+    /** Returns whether this child claims the lease: it held the lease within the tolerated number of silent epochs. */
     boolean claimsLease(int epoch) {
         return lastHeldEpoch >= epoch - toleratedSilence;
     }
--- a/tier/src/main/java/baymoor/tier/exchange/ShareRules.java
+++ b/tier/src/main/java/baymoor/tier/exchange/ShareRules.java
@@ -63,7 +63,7 @@
         return 2 * acknowledging >= members;
     }
 
-    /** Returns whether a child's base is revoked: children with a majority of all members did not acknowledge it. */
+    /** Returns whether a child's base is revoked: children with a majority of all members are known not to acknowledge it. */
     boolean isBaseRevoked(CommitmentLog log, int child, int acknowledgementEpoch) {
         int unacknowledging = 0;
         for (int other = 0; other < baseUnits.length; other++) {
@@ -83,7 +83,7 @@
     }
 
     /**
-     * Returns the units that a child has in an epoch.
+     * Returns the units that a child has in an epoch, as far as they follow from the known commitments.
      *
      * @param acknowledgementEpoch the epoch in which the acknowledgements for this epoch were made
      * @param transferEpoch the epoch in which the transfers for this epoch were made
@@ -112,6 +112,7 @@
      *
      * @param weights the weight of each child, 0 for children that are not fresh
      * @param draws the random draw of each child, for {@link Split#shares}
+     * @return the units by the index of the receiving child
      */
     int[] transfers(int child, double[] weights, int[] draws) {
         long total = 0;
--- a/tier/src/main/java/baymoor/tier/exchange/Sizes.java
+++ b/tier/src/main/java/baymoor/tier/exchange/Sizes.java
@@ -15,11 +15,17 @@
     /** Maximum control traffic of a balancer, sent and received together, including headers. */
     public static final int BUDGET_BYTES_PER_SECOND = 7_000;
 
+    /** Router loads in a member's message: those reported individually, and the length of the run. */
     static final int MEMBER_TAGGED_LOADS = 4;
+
     static final int MEMBER_RUN_LENGTH = 18;
+    /** The same for the message of a group's representative. */
     static final int GROUP_TAGGED_LOADS = 4;
+
     static final int GROUP_RUN_LENGTH = 24;
+    /** The same for a digest. */
     static final int OUTSIDE_TAGGED_LOADS = 4;
+
     static final int OUTSIDE_RUN_LENGTH = 24;
 
     private static final int MESSAGE_BASE_BYTES = 39;
--- a/tier/src/main/java/baymoor/tier/exchange/Timing.java
+++ b/tier/src/main/java/baymoor/tier/exchange/Timing.java
@@ -20,11 +20,12 @@
     static final int FRESHNESS_EPOCHS = 2;
     /** Messages from epochs further in the past are dropped. */
     static final int MAX_AGE_EPOCHS = 4;
-
     /** Messages from epochs further in the future are dropped. */
     static final int MAX_FUTURE_EPOCHS = 1;
 
+    /** The part of an epoch over which the members of a site spread their messages. */
     private static final double SITE_SEND_SPREAD = 0.15;
+    /** When each level sends, from the site up, in fractions of an epoch. */
     private static final double[] SEND_OFFSETS = {0, 0.4, 0.65, 0.9};
 
     /** Returns the epoch that contains a time. */
@@ -43,7 +44,7 @@
         return level.ordinal() + 2;
     }
 
-    /** Returns how many epochs ahead they commit to acknowledgements, early enough to be known when transfers are made. */
+    /** Returns how many epochs ahead they commit to acknowledgements: early enough to be known when transfers are made. */
     static int acknowledgementLead(Level level) {
         return transferLead(level) + 2;
     }
