--- a/tier/src/main/java/baymoor/tier/exchange/CommitmentLog.java
+++ b/tier/src/main/java/baymoor/tier/exchange/CommitmentLog.java
@@ -3,11 +3,11 @@
 import baymoor.tier.message.Commitment;
 import java.util.Arrays;
 
-/** The commitments of all children of a group by the epoch in which they were made, as far as they are known. */
+/** The known recent commitments of all children of a group, by the epoch in which they were made. Not thread-safe. */
 final class CommitmentLog {
 
-    /** Longer than the furthest lead and the oldest message together. */
-    private static final int EPOCHS = 32;
+    /** Exceeds the longest lead of a commitment plus the maximum age of a message. */
+    private static final int WINDOW_EPOCHS = 32;
 
     private static final int NONE = -1;
 
@@ -15,20 +15,20 @@
     private final Commitment[][] entries;
 
     CommitmentLog(int children) {
-        epochs = new int[children][EPOCHS];
-        entries = new Commitment[children][EPOCHS];
+        epochs = new int[children][WINDOW_EPOCHS];
+        entries = new Commitment[children][WINDOW_EPOCHS];
         for (int[] row : epochs) {
             Arrays.fill(row, NONE);
         }
     }
 
     /**
-     * Keeps what a child committed itself to in an epoch. The first word stands.
+     * Records a child's commitment of an epoch. The first one recorded for an epoch is kept.
      *
-     * @return false where another one is known already, which no correct sender causes
+     * @return false if a different commitment is already known, which no correct sender causes
      */
     boolean put(int child, int epoch, Commitment commitment) {
-        int slot = epoch % EPOCHS;
+        int slot = epoch % WINDOW_EPOCHS;
         if (epochs[child][slot] == epoch) {
             return entries[child][slot].equals(commitment);
         }
@@ -39,12 +39,12 @@
         return true;
     }
 
-    /** What a child committed itself to in an epoch, or null where that isn't known. */
+    /** Returns a child's commitment of an epoch, or null if it is unknown. */
     Commitment get(int child, int epoch) {
         if (epoch < 0) {
             return null;
         }
-        int slot = epoch % EPOCHS;
+        int slot = epoch % WINDOW_EPOCHS;
         return epochs[child][slot] == epoch ? entries[child][slot] : null;
     }
 }
--- a/tier/src/main/java/baymoor/tier/exchange/GroupMember.java
+++ b/tier/src/main/java/baymoor/tier/exchange/GroupMember.java
@@ -1,6 +1,6 @@
 package baymoor.tier.exchange;
 
-import baymoor.tier.exchange.Votes.Standing;
+import baymoor.tier.exchange.LeaseElection.VoteOutcome;
 import baymoor.tier.message.Commitment;
 import baymoor.tier.message.Digest;
 import baymoor.tier.message.GroupMessage;
@@ -17,16 +17,19 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** One child of one group, as the balancer that speaks for it: hears its siblings, and says what it commits itself to. */
+/**
+ * The state that a balancer keeps as the representative of one child of a group: what its siblings last sent, the lease of the
+ * group, and the child's own commitments. Not thread-safe; used by {@link Exchange} only.
+ */
 final class GroupMember {
 
     private static final int NEVER = Integer.MIN_VALUE / 2;
-    private static final Commitment NOTHING = new Commitment(0, new int[Places.LARGEST_GROUP]);
+    private static final Commitment EMPTY_COMMITMENT = new Commitment(0, new int[Places.LARGEST_GROUP]);
 
-    /** A sibling as last heard. */
+    /** The state of a sibling according to its last message. */
     private static final class Sibling {
-        int epoch = NEVER;
-        int speaker = Digest.UNKNOWN;
+        int lastEpoch = NEVER;
+        int representative = Digest.UNKNOWN;
         int incarnation;
         int sequence = -1;
         boolean previousVersion;
@@ -35,49 +38,49 @@
     }
 
     final Group group;
-    final int me;
-    final Votes votes;
+    final int self;
+    final LeaseElection election;
     private final int balancer;
-    private final PartRules rules;
+    private final ShareRules rules;
     private final Draws draws;
     private final Sibling[] siblings;
     private final CommitmentLog log;
-    private final CommitmentLog acted = new CommitmentLog(1);
-    private final LoadTeller loadTeller;
-    private Totals mine = Totals.NONE;
+    private final CommitmentLog ownCommitments = new CommitmentLog(1);
+    private final LoadReporter loadReporter;
+    private Totals ownTotals = Totals.NONE;
     private Digest digest;
     private int digestEpoch = NEVER;
     private int digestTerm;
-    private final double[] digestParts = new double[16];
-    private final int[] digestPartEpochs = new int[16];
+    private final double[] digestShares = new double[16];
+    private final int[] digestShareEpochs = new int[16];
     private int[] outsideLoads = new int[0];
     private RouterList routers = RouterList.EMPTY;
 
-    GroupMember(Group group, int me, int balancer, PartRules rules, Draws draws) {
+    GroupMember(Group group, int self, int balancer, ShareRules rules, Draws draws) {
         this.group = group;
-        this.me = me;
+        this.self = self;
         this.balancer = balancer;
         this.rules = rules;
         this.draws = draws;
         int children = group.children().size();
-        votes = new Votes(me, children);
+        election = new LeaseElection(self, children);
         log = new CommitmentLog(children);
         siblings = new Sibling[children];
         Arrays.setAll(siblings, child -> new Sibling());
-        Arrays.fill(digestPartEpochs, NEVER);
-        loadTeller = group.level() == Level.SITE
-                ? new LoadTeller(Sizes.MEMBER_LOADS_APART, Sizes.MEMBER_LOADS_RUN)
-                : new LoadTeller(Sizes.GROUP_LOADS_APART, Sizes.GROUP_LOADS_RUN);
+        Arrays.fill(digestShareEpochs, NEVER);
+        loadReporter = group.level() == Level.SITE
+                ? new LoadReporter(Sizes.MEMBER_TAGGED_LOADS, Sizes.MEMBER_RUN_LENGTH)
+                : new LoadReporter(Sizes.GROUP_TAGGED_LOADS, Sizes.GROUP_RUN_LENGTH);
         if (group.level() == Level.SITE) {
             Arrays.setAll(siblings, child -> {
                 Sibling sibling = new Sibling();
-                sibling.speaker = group.children().get(child);
+                sibling.representative = group.children().get(child);
                 return sibling;
             });
         }
     }
 
-    /** Takes over another list of routers; loads are told anew. */
+    /** Replaces the list of routers and discards all loads known for the previous one. */
     void setRouters(RouterList list) {
         routers = list;
         outsideLoads = new int[list.size()];
@@ -91,77 +94,77 @@
     }
 
     /**
-     * Speaks in an epoch, once.
+     * Creates the child's message of an epoch and records the commitment in it. Must be called at most once per epoch.
      *
-     * @param standing what the balancer may do for its child in this epoch
-     * @param figures of the child
-     * @param loads of the child, by the list of routers
-     * @param told what to tell as the group's holder, or null
+     * @param outcome the votes of the child's own group, which decide whether the balancer may commit the child
+     * @param totals the child's totals
+     * @param loads the child's attempts in flight, in the order of the list of routers
+     * @param outgoingDigest the digest to publish as holder of the group's lease, or null
      */
-    GroupMessage speak(int epoch, Standing standing, Totals figures, int[] loads, Digest told) {
-        mine = figures.withDraw(draws.next());
-        int vote = votes.cast(epoch);
+    GroupMessage createMessage(int epoch, VoteOutcome outcome, Totals totals, int[] loads, Digest outgoingDigest) {
+        ownTotals = totals.withDraw(draws.next());
+        int vote = election.castVote(epoch);
         Commitment commitment = null;
-        if (standing == Standing.MAJORITY) {
-            commitment = new Commitment(acknowledged(epoch), gifts(epoch));
-            log.put(me, epoch, commitment);
+        if (outcome == VoteOutcome.MAJORITY) {
+            commitment = new Commitment(acknowledgedBits(epoch), transfers(epoch));
+            log.put(self, epoch, commitment);
         }
-        acted.put(0, epoch, commitment == null ? NOTHING : commitment);
-        LoadReport report = loadTeller.next(routers, loads);
+        ownCommitments.put(0, epoch, commitment == null ? EMPTY_COMMITMENT : commitment);
+        LoadReport report = loadReporter.nextReport(routers, loads);
         return new GroupMessage(
                 level(),
                 group.number(),
-                me,
+                self,
                 balancer,
                 0,
                 epoch,
-                votes.term(epoch),
-                votes.claims(epoch),
+                election.term(epoch),
+                election.claimsLease(epoch),
                 vote,
                 commitment,
-                log.get(me, epoch - 1),
-                mine,
+                log.get(self, epoch - 1),
+                ownTotals,
                 report,
-                told);
+                outgoingDigest);
     }
 
-    private int acknowledged(int epoch) {
+    private int acknowledgedBits(int epoch) {
         int bits = 0;
         for (int child = 0; child < siblings.length; child++) {
-            bits |= fresh(child, epoch) ? 1 << child : 0;
+            bits |= isFresh(child, epoch) ? 1 << child : 0;
         }
         return bits;
     }
 
-    /** The gifts made in an epoch, for a later one: none where it isn't known that the base is held then. */
-    private int[] gifts(int epoch) {
-        int about = epoch + Timing.giveLead(level());
-        if (!rules.owns(log, me, about - Timing.acknowledgeLead(level()))) {
+    /** Returns the units transferred to each sibling; none unless the child is sure to own its base in the target epoch. */
+    private int[] transfers(int epoch) {
+        int targetEpoch = epoch + Timing.transferLead(level());
+        if (!rules.ownsBase(log, self, targetEpoch - Timing.acknowledgementLead(level()))) {
             return new int[Places.LARGEST_GROUP];
         }
         double[] weights = new double[siblings.length];
-        int[] drawn = new int[siblings.length];
-        boolean wanted = false;
+        int[] childDraws = new int[siblings.length];
+        boolean hasDemand = false;
         for (int child = 0; child < siblings.length; child++) {
-            Totals totals = child == me ? mine : siblings[child].totals;
-            weights[child] = fresh(child, epoch) ? Math.max(0, totals.weight()) : 0;
-            drawn[child] = totals.draw();
-            wanted |= fresh(child, epoch) && totals.queued() + totals.fetched() > 0;
+            Totals totals = child == self ? ownTotals : siblings[child].totals;
+            weights[child] = isFresh(child, epoch) ? Math.max(0, totals.weight()) : 0;
+            childDraws[child] = totals.draw();
+            hasDemand |= isFresh(child, epoch) && totals.queued() + totals.fetched() > 0;
         }
-        // With no miss anywhere each has its even share.
-        return wanted ? rules.gifts(me, weights, drawn) : new int[Places.LARGEST_GROUP];
+        // Without any demand every child keeps its base.
+        return hasDemand ? rules.transfers(self, weights, childDraws) : new int[Places.LARGEST_GROUP];
     }
 
-    private boolean fresh(int child, int epoch) {
-        return child == me || siblings[child].epoch >= epoch - Timing.FRESH_EPOCHS;
+    private boolean isFresh(int child, int epoch) {
+        return child == self || siblings[child].lastEpoch >= epoch - Timing.FRESHNESS_EPOCHS;
     }
 
     /**
-     * Takes a sibling's message.
+     * Processes a sibling's message.
      *
-     * @return false where it contradicts an earlier one, which no correct sender causes
+     * @return false if it contradicts an earlier commitment of the same child and epoch, which no correct sender causes
      */
-    boolean hear(GroupMessage message) {
+    boolean receive(GroupMessage message) {
         int child = message.child();
         Sibling sibling = siblings[child];
         boolean consistent = true;
@@ -171,23 +174,23 @@
         if (message.previous() != null && message.epoch() > 0) {
             consistent &= log.put(child, message.epoch() - 1, message.previous());
         }
-        // Of two that speak for a child in one epoch, the one that may bind it counts.
+        // If two balancers represent a child in one epoch, the one that may commit it takes precedence.
         boolean binding = message.commitment() != null;
-        if (message.epoch() > sibling.epoch || message.epoch() == sibling.epoch && binding) {
-            sibling.epoch = message.epoch();
-            sibling.speaker = message.speaker();
+        if (message.epoch() > sibling.lastEpoch || message.epoch() == sibling.lastEpoch && binding) {
+            sibling.lastEpoch = message.epoch();
+            sibling.representative = message.speaker();
             sibling.previousVersion = false;
             sibling.totals = message.totals();
-            LoadTeller.apply(message.loads(), routers, sibling.loads);
+            LoadReporter.apply(message.loads(), routers, sibling.loads);
         }
-        votes.hear(child, message.epoch(), message.vote(), message.term(), message.claims());
-        if (message.digest() != null && message.claims() && !votes.outdated(message.term())) {
-            hearDigest(message);
+        election.receive(child, message.epoch(), message.vote(), message.term(), message.claims());
+        if (message.digest() != null && message.claims() && !election.isStaleTerm(message.term())) {
+            receiveDigest(message);
         }
         return consistent;
     }
 
-    private void hearDigest(GroupMessage message) {
+    private void receiveDigest(GroupMessage message) {
         if (message.epoch() < digestEpoch || message.epoch() == digestEpoch && message.term() <= digestTerm) {
             return;
         }
@@ -195,87 +198,89 @@
         digestEpoch = message.epoch();
         digestTerm = message.term();
         int first = message.epoch() + Timing.digestLead(level());
-        setPart(first, digest.nextPart());
-        setPart(first + 1, digest.laterPart());
-        LoadTeller.apply(digest.loads(), routers, outsideLoads);
+        setShare(first, digest.nextPart());
+        setShare(first + 1, digest.laterPart());
+        LoadReporter.apply(digest.loads(), routers, outsideLoads);
     }
 
-    private void setPart(int epoch, double part) {
-        digestParts[epoch % digestParts.length] = part;
-        digestPartEpochs[epoch % digestParts.length] = epoch;
+    private void setShare(int epoch, double share) {
+        digestShares[epoch % digestShares.length] = share;
+        digestShareEpochs[epoch % digestShares.length] = epoch;
     }
 
     /**
-     * Takes the figures of a sibling of the version before: it counts as heard, and commits itself to nothing.
+     * Processes a message of the previous protocol version. The sibling counts as alive but makes no commitments.
      *
-     * @return false where the sibling has spoken as one of this version lately, so that this can't be its word
+     * @return false if the sibling has recently sent a message of the current version, so that this one is not plausible
      */
-    boolean hearPrevious(int child, int epoch, PreviousVersion.Figures figures) {
+    boolean receivePrevious(int child, int epoch, PreviousVersion.Figures figures) {
         Sibling sibling = siblings[child];
-        if (!sibling.previousVersion && sibling.epoch >= epoch - Timing.OLDEST_EPOCHS) {
+        if (!sibling.previousVersion && sibling.lastEpoch >= epoch - Timing.MAX_AGE_EPOCHS) {
             return false;
         }
-        boolean older = figures.incarnation() == sibling.incarnation && figures.sequence() <= sibling.sequence;
-        if (older && sibling.sequence >= 0) {
+        boolean outdated = figures.incarnation() == sibling.incarnation && figures.sequence() <= sibling.sequence;
+        if (outdated && sibling.sequence >= 0) {
             return true;
         }
         sibling.previousVersion = true;
         sibling.incarnation = figures.incarnation();
         sibling.sequence = figures.sequence();
-        sibling.epoch = Math.max(sibling.epoch, epoch);
+        sibling.lastEpoch = Math.max(sibling.lastEpoch, epoch);
         sibling.totals = figures.totals();
         return true;
     }
 
-    /** The child's part of the group's movable part in an epoch, from 0 to 1. */
-    double fraction(int epoch) {
-        int given = epoch - Timing.giveLead(level());
-        int acknowledged = epoch - Timing.acknowledgeLead(level());
-        return (double) rules.units(log, me, acknowledged, given, acted.get(0, given)) / PartRules.WHOLE;
+    /** Returns the child's share of the group's dynamic allowance in an epoch, from 0 to 1. */
+    double shareOfGroup(int epoch) {
+        int transferEpoch = epoch - Timing.transferLead(level());
+        int acknowledgementEpoch = epoch - Timing.acknowledgementLead(level());
+        return (double) rules.units(
+                        log, self, acknowledgementEpoch, transferEpoch, ownCommitments.get(0, transferEpoch))
+                / ShareRules.TOTAL_UNITS;
     }
 
-    /** The group's own movable part in an epoch as the holder told it, or 0. */
-    double toldPart(int epoch) {
-        return digestPartEpochs[epoch % digestParts.length] == epoch ? digestParts[epoch % digestParts.length] : 0;
+    /** Returns the group's share of the dynamic allowance in an epoch as published by its holder, or 0 if unknown. */
+    double publishedShare(int epoch) {
+        return digestShareEpochs[epoch % digestShares.length] == epoch ? digestShares[epoch % digestShares.length] : 0;
     }
 
-    /** What the holder last told, or null where that is too old. */
+    /** Returns the last digest of the group's holder, or null if there is none or it is too old. */
     Digest digest(int epoch) {
-        return digestEpoch >= epoch - Timing.OLDEST_EPOCHS ? digest : null;
+        return digestEpoch >= epoch - Timing.MAX_AGE_EPOCHS ? digest : null;
     }
 
-    /** Figures of all children that are heard, this one's included. */
-    Totals all(int epoch) {
-        List<Totals> heard = heard(epoch);
-        heard.add(mine);
-        return Totals.sum(heard);
+    /** Returns the sum of the totals of this child and its fresh siblings. */
+    Totals groupTotals(int epoch) {
+        List<Totals> fresh = freshSiblingTotals(epoch);
+        fresh.add(ownTotals);
+        return Totals.sum(fresh);
     }
 
-    /** Figures of the siblings that are heard. */
-    List<Totals> heard(int epoch) {
-        List<Totals> heard = new ArrayList<>();
+    /** Returns a mutable list of the totals of all siblings heard from recently. */
+    List<Totals> freshSiblingTotals(int epoch) {
+        List<Totals> fresh = new ArrayList<>();
         for (int child = 0; child < siblings.length; child++) {
-            if (child != me && fresh(child, epoch)) {
-                heard.add(siblings[child].totals);
+            if (child != self && isFresh(child, epoch)) {
+                fresh.add(siblings[child].totals);
             }
         }
-        return heard;
+        return fresh;
     }
 
-    /** The median of what all children that are heard have learned of the allowance. */
-    double medianRate(int epoch) {
+    /** Returns the median of the allowance estimates of this child and its fresh siblings, in fetches per second. */
+    double medianAllowanceRate(int epoch) {
         List<Estimate> rates = new ArrayList<>();
-        rates.add(new Estimate(mine.rate(), mine.members()));
-        for (Totals totals : heard(epoch)) {
+        rates.add(new Estimate(ownTotals.rate(), ownTotals.members()));
+        for (Totals totals : freshSiblingTotals(epoch)) {
             rates.add(new Estimate(totals.rate(), totals.members()));
         }
         return RobustRate.of(rates);
     }
 
-    /** Adds what the siblings that are heard have out to some counts. */
-    void addLoads(int epoch, int[] counts) {
+    /** Adds the attempts in flight of all fresh siblings to the counts, which are in the order of the list of routers. */
+    void addSiblingLoads(int epoch, int[] counts) {
         for (int child = 0; child < siblings.length; child++) {
-            if (child != me && fresh(child, epoch)) {
+            if (child != self && isFresh(child, epoch)) {
                 for (int i = 0; i < counts.length; i++) {
                     counts[i] += siblings[child].loads[i];
                 }
@@ -283,30 +288,30 @@
         }
     }
 
-    /** What is out outside of the group as its holder tells. */
+    /** Returns the attempts in flight outside the group as published by its holder, in the order of the list of routers. */
     int[] outsideLoads() {
         return outsideLoads;
     }
 
-    /** The balancer that speaks for a child; {@link Digest#UNKNOWN} where none is known. */
-    int speaker(int child) {
-        return child == me ? balancer : siblings[child].speaker;
+    /** Returns the balancer that represents a child, or {@link Digest#UNKNOWN}. */
+    int representative(int child) {
+        return child == self ? balancer : siblings[child].representative;
     }
 
-    /** Takes over a speaker that another one knew. */
-    void learnSpeaker(int child, int speaker) {
-        if (child != me && siblings[child].speaker == Digest.UNKNOWN) {
-            siblings[child].speaker = speaker;
+    /** Sets the representative of a sibling unless one is known already. */
+    void setRepresentativeIfUnknown(int child, int representative) {
+        if (child != self && siblings[child].representative == Digest.UNKNOWN) {
+            siblings[child].representative = representative;
         }
     }
 
-    /** A child that has been silent may have another speaker by now: it is looked for again. */
-    boolean lost(int child, int epoch) {
-        return level() != Level.SITE && !fresh(child, epoch);
+    /** Returns whether a child has been silent for so long that another balancer may represent it by now. */
+    boolean isRepresentativeStale(int child, int epoch) {
+        return level() != Level.SITE && !isFresh(child, epoch);
     }
 
-    /** Children that are heard, this one included. */
-    int heardChildren(int epoch) {
-        return Integer.bitCount(acknowledged(epoch));
+    /** Returns the number of children heard from recently, including this one. */
+    int freshChildren(int epoch) {
+        return Integer.bitCount(acknowledgedBits(epoch));
     }
 }
--- a/tier/src/test/java/baymoor/tier/exchange/CreditsTest.java
+++ b/tier/src/test/java/baymoor/tier/exchange/CreditsTest.java
@@ -14,45 +14,45 @@
     private static final String SEED = "4718";
     private static final long SECOND = 1_000_000;
 
-    /** In any second: what comes in, one kept, and the twentieth of a second. */
+    /** In any second at most the accrued credits, one stored credit and the burst are spent. */
     @Property(seed = SEED, tries = 300)
-    void noSecondHasMoreThanItsCreditsAndWhatMayBeKept(
+    void spendingPerSecondIsBoundedByRateAndBurst(
             @ForAll @IntRange(min = 0, max = 400) int tenthsPerSecond, @ForAll long seed) {
         Random random = new Random(seed);
         double perSecond = tenthsPerSecond / 10.0;
         Credits credits = new Credits(0);
         long now = 0;
         for (int second = 0; second < 5; second++) {
-            now += random.nextInt(3) * SECOND; // it may have been at rest before
+            now += random.nextInt(3) * SECOND; // an idle time of up to two seconds
             credits.accrue(now, perSecond);
             int spent = 0;
             for (int step = 0; step < 100; step++) {
                 now += SECOND / 100;
                 credits.accrue(now, perSecond);
-                while (random.nextInt(3) > 0 && credits.spend()) {
+                while (random.nextInt(3) > 0 && credits.trySpend()) {
                     spent++;
                 }
             }
-            double most = perSecond * (1 + Credits.KEPT_SECONDS) + 1;
-            assertTrue(spent + " of " + most, spent <= most + 1e-6);
+            double limit = perSecond * (1 + Credits.BURST_SECONDS) + 1;
+            assertTrue(spent + " of " + limit, spent <= limit + 1e-6);
         }
     }
 
     @Example
-    void aFractionOfACreditBuysAFetchNowAndThen() {
+    void fractionalRateAccumulatesToWholeCredits() {
         Credits credits = new Credits(0);
         int spent = 0;
         for (int second = 1; second <= 100; second++) {
             credits.accrue(second * SECOND, 0.1);
-            spent += credits.spend() ? 1 : 0;
+            spent += credits.trySpend() ? 1 : 0;
         }
         assertTrue("" + spent, spent == 10 || spent == 9);
     }
 
     @Example
-    void aClockThatGoesBackBringsNothing() {
+    void backwardClockAccruesNothing() {
         Credits credits = new Credits(10 * SECOND);
         credits.accrue(5 * SECOND, 100);
-        assertEquals(0, credits.whole());
+        assertEquals(0, credits.available());
     }
 }
