--- a/emulator/src/main/java/baymoor/emulator/chance/Draw.java
+++ b/emulator/src/main/java/baymoor/emulator/chance/Draw.java
@@ -10,27 +10,27 @@
     private Draw() {}
 
     /** Exponential with a mean of 1. */
-    public static double exponential(UniformRandomProvider from) {
-        return ZigguratSampler.Exponential.of(from).sample();
+    public static double exponential(UniformRandomProvider random) {
+        return ZigguratSampler.Exponential.of(random).sample();
     }
 
     /** Normal with mean 0 and deviation 1. */
-    public static double normal(UniformRandomProvider from) {
-        return ZigguratSampler.NormalizedGaussian.of(from).sample();
+    public static double normal(UniformRandomProvider random) {
+        return ZigguratSampler.NormalizedGaussian.of(random).sample();
     }
 
     /** Log-normal with a mean of 1: {@code sigma} is the deviation of its logarithm. */
-    public static double logNormal(UniformRandomProvider from, double sigma) {
-        return sigma == 0 ? 1 : Math.exp(sigma * normal(from) - sigma * sigma / 2);
+    public static double logNormal(UniformRandomProvider random, double sigma) {
+        return sigma == 0 ? 1 : Math.exp(sigma * normal(random) - sigma * sigma / 2);
     }
 
     /** Even within a span. */
-    public static long within(UniformRandomProvider from, Span span) {
-        return span.least() + (long) (from.nextDouble() * (span.most() - span.least()));
+    public static long within(UniformRandomProvider random, Span span) {
+        return span.least() + (long) (random.nextDouble() * (span.most() - span.least()));
     }
 
     /** True with a probability of {@code share}. */
-    public static boolean chance(UniformRandomProvider from, double share) {
-        return share > 0 && from.nextDouble() < share;
+    public static boolean chance(UniformRandomProvider random, double probability) {
+        return probability > 0 && random.nextDouble() < probability;
     }
 }
--- a/emulator/src/main/java/baymoor/emulator/chance/Streams.java
+++ b/emulator/src/main/java/baymoor/emulator/chance/Streams.java
@@ -27,11 +27,11 @@
             MessageDigest digest = MessageDigest.getInstance("SHA-256");
             digest.update(ByteBuffer.allocate(Long.BYTES).putLong(seed).array());
             ByteBuffer bytes = ByteBuffer.wrap(digest.digest(name.getBytes(StandardCharsets.UTF_8)));
-            long[] start = new long[SEED_LONGS];
+            long[] state = new long[SEED_LONGS];
             for (int i = 0; i < SEED_LONGS; i++) {
-                start[i] = bytes.getLong();
+                state[i] = bytes.getLong();
             }
-            return RandomSource.XO_RO_SHI_RO_128_PP.create(start);
+            return RandomSource.XO_RO_SHI_RO_128_PP.create(state);
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException("every Java has SHA-256", e);
         }
--- a/emulator/src/main/java/baymoor/emulator/engine/Engine.java
+++ b/emulator/src/main/java/baymoor/emulator/engine/Engine.java
@@ -4,25 +4,25 @@
 
 /**
  * A discrete-event engine: virtual time in microseconds, moved on from event to event. Of two events at the same
- * microsecond the one that was scheduled first comes first; what a {@link Site} does at once comes before both.
+ * microsecond the one that was scheduled first comes first; what a {@link VirtualProcess} does at once comes before both.
  *
  * <p>With a grid, events fall due together at its points, and those that are due at once come in an order drawn from a seed: so
  * that what hardly ever crosses in the world crosses all the time. Events of one course, as of one connection, keep their order.
  */
 public final class Engine {
 
-    private static final long ALONE = 0;
-    private static final long GOLDEN = 0x9e3779b97f4a7c15L;
+    private static final long NO_ORDERING_KEY = 0;
+    private static final long GOLDEN_GAMMA = 0x9e3779b97f4a7c15L;
 
     /** High enough that starts of hosts long before this run's are above 0. */
     public static final long START_MICROS = 1_000_000_000_000L;
 
     private final PriorityQueue<Event> events = new PriorityQueue<>(1024);
     private long now = START_MICROS;
-    private long scheduled;
-    private long performed;
+    private long nextSequence;
+    private long executedEvents;
     private boolean halted;
-    private final long grid;
+    private final long gridMicros;
     private final long shuffle;
 
     public Engine() {
@@ -34,21 +34,21 @@
      * @param shuffle    seed of the order of events that are due at once, 0 for that in which they were scheduled
      */
     public Engine(long gridMicros, long shuffle) {
-        grid = gridMicros;
+        this.gridMicros = gridMicros;
         this.shuffle = shuffle;
     }
 
     /** One thing to be done at a time. */
     public static final class Event implements Comparable<Event> {
-        private final long at;
-        private final long place;
-        private final long number;
+        private final long dueMicros;
+        private final long tieBreak;
+        private final long sequence;
         private Runnable task;
 
-        Event(long at, long place, long number, Runnable task) {
-            this.at = at;
-            this.place = place;
-            this.number = number;
+        Event(long dueMicros, long tieBreak, long sequence, Runnable task) {
+            this.dueMicros = dueMicros;
+            this.tieBreak = tieBreak;
+            this.sequence = sequence;
             this.task = task;
         }
 
@@ -59,9 +59,9 @@
 
         @Override
         public int compareTo(Event other) {
-            int byTime = Long.compare(at, other.at);
-            int byPlace = byTime != 0 ? byTime : Long.compare(place, other.place);
-            return byPlace != 0 ? byPlace : Long.compare(number, other.number);
+            int byTime = Long.compare(dueMicros, other.dueMicros);
+            int byTieBreak = byTime != 0 ? byTime : Long.compare(tieBreak, other.tieBreak);
+            return byTieBreak != 0 ? byTieBreak : Long.compare(sequence, other.sequence);
         }
     }
 
@@ -71,42 +71,46 @@
     }
 
     /** Since the start of the run. */
-    public long elapsed() {
+    public long elapsedMicros() {
         return now - START_MICROS;
     }
 
     /** Events performed so far, without the cancelled ones. */
-    public long performed() {
-        return performed;
+    public long executedEvents() {
+        return executedEvents;
     }
 
     /** Events that wait, with the cancelled ones. */
-    public int waiting() {
+    public int queuedEvents() {
         return events.size();
     }
 
     /** Does something at a time; a time that has passed means now, after what is scheduled for now already. */
-    public Event at(long micros, Runnable task) {
-        return at(micros, ALONE, task);
+    public Event schedule(long micros, Runnable task) {
+        return schedule(micros, NO_ORDERING_KEY, task);
     }
 
-    /** @param course whose events keep their order among themselves, or 0 */
-    public Event at(long micros, long course, Runnable task) {
+    /** @param orderingKey whose events keep their order among themselves, or 0 */
+    public Event schedule(long micros, long orderingKey, Runnable task) {
         long due = Math.max(now, micros);
-        return add(due == now ? now : (due + grid - 1) / grid * grid, course, task);
+        return enqueue(due == now ? now : (due + gridMicros - 1) / gridMicros * gridMicros, orderingKey, task);
     }
 
     /** At this very time, on no grid. */
-    public Event exactly(long micros, Runnable task) {
-        return add(Math.max(now, micros), ALONE, task);
+    public Event scheduleUnaligned(long micros, Runnable task) {
+        return enqueue(Math.max(now, micros), NO_ORDERING_KEY, task);
     }
 
-    private Event add(long due, long course, Runnable task) {
-        long number = scheduled++;
+    private Event enqueue(long due, long orderingKey, Runnable task) {
+        long sequence = nextSequence++;
         Event event = new Event(
                 due,
-                shuffle == 0 ? 0 : mix(shuffle ^ (course == ALONE ? ~number : course) * GOLDEN ^ due),
-                number,
+                shuffle == 0
+                        ? 0
+                        : mix(shuffle
+                                ^ (orderingKey == NO_ORDERING_KEY ? ~sequence : orderingKey) * GOLDEN_GAMMA
+                                ^ due),
+                sequence,
                 task);
         events.add(event);
         return event;
@@ -121,7 +125,7 @@
 
     /** Does something after a delay. */
     public Event after(long micros, Runnable task) {
-        return at(now + Math.max(0, micros), task);
+        return schedule(now + Math.max(0, micros), task);
     }
 
     /** Ends {@link #runUntil} after the present event. */
@@ -138,15 +142,15 @@
     public void runUntil(long micros) {
         while (!halted) {
             Event next = events.peek();
-            if (next == null || next.at > micros) {
+            if (next == null || next.dueMicros > micros) {
                 now = Math.max(now, micros);
                 return;
             }
             events.poll();
-            now = next.at;
+            now = next.dueMicros;
             Runnable task = next.task;
             if (task != null) {
-                performed++;
+                executedEvents++;
                 task.run();
             }
         }
--- a/emulator/src/main/java/baymoor/emulator/engine/Site.java
+++ b/emulator/src/main/java/baymoor/emulator/engine/VirtualProcess.java
@@ -9,38 +9,39 @@
  * while it is busy waits in order, as it does before a real process. When the process dies, all that waits for it, and
  * every timer it set, is void; it may be born again.
  */
-public final class Site implements Time {
+public final class VirtualProcess implements Time {
 
     private final Engine engine;
     private final String name;
     private final int zone;
     private final boolean client;
     private final long costMicros;
-    private final Consumer<Throwable> failed;
-    private final ArrayDeque<Posted> inbox = new ArrayDeque<>();
-    private final ArrayDeque<AtOnce> atOnce = new ArrayDeque<>();
-    private boolean performing;
-    private boolean turnSet;
+    private final Consumer<Throwable> failureHandler;
+    private final ArrayDeque<PostedTask> queue = new ArrayDeque<>();
+    private final ArrayDeque<ImmediateTask> immediateTasks = new ArrayDeque<>();
+    private boolean running;
+    private boolean turnScheduled;
     private boolean alive = true;
-    private int life;
+    private int incarnation;
     private long busyUntil;
     private long came;
 
     /** What waits for the process, and since when. */
-    private record Posted(long atMicros, Runnable task) {}
+    private record PostedTask(long postedMicros, Runnable task) {}
 
     /**
      * @param client     whether it stands outside the zones' networks, as clients do
      * @param costMicros processor time for each event
-     * @param failed     hears what a task threw, which ends nothing but the task
+     * @param failureHandler     hears what a task threw, which ends nothing but the task
      */
-    public Site(Engine engine, String name, int zone, boolean client, long costMicros, Consumer<Throwable> failed) {
+    public VirtualProcess(
+            Engine engine, String name, int zone, boolean client, long costMicros, Consumer<Throwable> failureHandler) {
         this.engine = engine;
         this.name = name;
         this.zone = zone;
         this.client = client;
         this.costMicros = costMicros;
-        this.failed = failed;
+        this.failureHandler = failureHandler;
     }
 
     /** Its name in the event log. */
@@ -64,17 +65,17 @@
     }
 
     /** The process ends at once. */
-    public void die() {
+    public void terminate() {
         alive = false;
-        life++;
-        inbox.clear();
-        atOnce.clear();
-        turnSet = false;
+        incarnation++;
+        queue.clear();
+        immediateTasks.clear();
+        turnScheduled = false;
         busyUntil = 0;
     }
 
     /** A new process begins in its place, which knows nothing. */
-    public void bear() {
+    public void restart() {
         alive = true;
     }
 
@@ -98,63 +99,63 @@
         if (!alive) {
             return;
         }
-        if (costMicros == 0 && !performing && inbox.isEmpty() && engine.now() >= busyUntil) {
-            perform(new Posted(engine.now(), task));
+        if (costMicros == 0 && !running && queue.isEmpty() && engine.now() >= busyUntil) {
+            execute(new PostedTask(engine.now(), task));
         } else {
-            inbox.add(new Posted(engine.now(), task));
-            setTurn();
+            queue.add(new PostedTask(engine.now(), task));
+            scheduleTurn();
         }
     }
 
-    private void setTurn() {
-        if (!turnSet) {
-            turnSet = true;
-            int born = life;
-            engine.exactly(busyUntil, () -> turn(born));
+    private void scheduleTurn() {
+        if (!turnScheduled) {
+            turnScheduled = true;
+            int expectedIncarnation = incarnation;
+            engine.scheduleUnaligned(busyUntil, () -> runTurn(expectedIncarnation));
         }
     }
 
-    private void turn(int born) {
-        if (born != life) {
+    private void runTurn(int expectedIncarnation) {
+        if (expectedIncarnation != incarnation) {
             return;
         }
-        turnSet = false;
-        if (engine.now() >= busyUntil && !inbox.isEmpty()) {
-            perform(inbox.poll());
+        turnScheduled = false;
+        if (engine.now() >= busyUntil && !queue.isEmpty()) {
+            execute(queue.poll());
         }
-        if (born == life && !inbox.isEmpty()) {
-            setTurn();
+        if (expectedIncarnation == incarnation && !queue.isEmpty()) {
+            scheduleTurn();
         }
     }
 
-    private void perform(Posted posted) {
-        int born = life;
-        performing = true;
+    private void execute(PostedTask posted) {
+        int expectedIncarnation = incarnation;
+        running = true;
         busyUntil = Math.max(busyUntil, engine.now() + costMicros);
-        came = posted.atMicros;
-        attempt(posted.task);
+        came = posted.postedMicros;
+        runTask(posted.task);
         came = engine.now();
-        while (born == life && !atOnce.isEmpty()) {
-            AtOnce next = atOnce.poll();
+        while (expectedIncarnation == incarnation && !immediateTasks.isEmpty()) {
+            ImmediateTask next = immediateTasks.poll();
             if (next.task != null) {
-                attempt(next.task);
+                runTask(next.task);
             }
         }
-        performing = false;
+        running = false;
     }
 
-    private void attempt(Runnable task) {
+    private void runTask(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException | AssertionError e) {
-            failed.accept(e);
+            failureHandler.accept(e);
         }
     }
 
-    private static final class AtOnce implements Timer {
+    private static final class ImmediateTask implements Timer {
         private Runnable task;
 
-        AtOnce(Runnable task) {
+        ImmediateTask(Runnable task) {
             this.task = task;
         }
 
@@ -166,14 +167,14 @@
 
     @Override
     public Timer after(long micros, Runnable task) {
-        if (micros <= 0 && performing) {
-            AtOnce next = new AtOnce(task);
-            atOnce.add(next);
+        if (micros <= 0 && running) {
+            ImmediateTask next = new ImmediateTask(task);
+            immediateTasks.add(next);
             return next;
         }
-        int born = life;
+        int expectedIncarnation = incarnation;
         Engine.Event event = engine.after(micros, () -> {
-            if (born == life) {
+            if (expectedIncarnation == incarnation) {
                 post(task);
             }
         });
--- a/emulator/src/main/java/baymoor/emulator/fabric/Fabric.java
+++ b/emulator/src/main/java/baymoor/emulator/fabric/Fabric.java
@@ -39,10 +39,10 @@
 
     final Time time;
     private final Scenario.Net net;
-    private final UniformRandomProvider chance;
+    private final UniformRandomProvider random;
     private final ZoneCuts cuts;
-    private final Set<Wire> wires = new LinkedHashSet<>();
-    private double loss;
+    private final Set<FabricConnection> connections = new LinkedHashSet<>();
+    private double extraDatagramLoss;
     private long bytesHeld;
     private long resets;
     private long datagrams;
@@ -50,11 +50,11 @@
     private long datagramsCut;
     private long datagramsDoubled;
 
-    /** @param chance that decides on datagrams */
-    public Fabric(Scenario.Net net, int zones, Time time, UniformRandomProvider chance) {
+    /** @param random that decides on datagrams */
+    public Fabric(Scenario.Net net, int zones, Time time, UniformRandomProvider random) {
         this.net = net;
         this.time = time;
-        this.chance = chance;
+        this.random = random;
         cuts = new ZoneCuts(zones);
     }
 
@@ -62,7 +62,7 @@
     public void cut(int from, int to, boolean cut) {
         cuts.cut(from, to, cut);
         if (!cut) {
-            healed();
+            cutEnded();
         }
     }
 
@@ -70,14 +70,14 @@
     public void cut(int zone, boolean cut) {
         cuts.cutOff(zone, cut);
         if (!cut) {
-            healed();
+            cutEnded();
         }
     }
 
     /** A cut has ended: connections that can pass again go on or are reset. */
-    private void healed() {
-        for (Wire wire : List.copyOf(wires)) {
-            wire.healed();
+    private void cutEnded() {
+        for (FabricConnection connection : List.copyOf(connections)) {
+            connection.cutEnded();
         }
     }
 
@@ -87,60 +87,60 @@
 
     /** Loses so large a share of the datagrams, beside what the scenario loses always. */
     public void lose(double share) {
-        loss = share;
+        extraDatagramLoss = share;
     }
 
     /**
      * Puts itself between a connection and the host that takes it.
      *
-     * @param near zone of the process that opened it
-     * @param far  zone of the host
+     * @param openerZone zone of the process that opened it
+     * @param hostZone  zone of the host
      * @param host takes what it is shown as its connection; null to close it unheard
      */
-    public LinkEvents between(Link link, int near, int far, Function<Link, LinkEvents> host) {
-        Wire wire = new Wire(this, link, near, far);
-        wires.add(wire);
-        wire.accepted(host);
-        return wire;
+    public LinkEvents between(Link link, int openerZone, int hostZone, Function<Link, LinkEvents> host) {
+        FabricConnection connection = new FabricConnection(this, link, openerZone, hostZone);
+        connections.add(connection);
+        connection.accept(host);
+        return connection;
     }
 
     /** Takes a datagram; {@code arrives} runs as often as it comes through, and when. */
-    public void datagram(int from, int to, Runnable arrives) {
+    public void datagram(int from, int to, Runnable onArrival) {
         datagrams++;
         if (isCut(from, to)) {
             datagramsCut++;
             return;
         }
-        if (Draw.chance(chance, Math.max(loss, net.datagramLoss()))) {
+        if (Draw.chance(random, Math.max(extraDatagramLoss, net.datagramLoss()))) {
             datagramsLost++;
             return;
         }
-        List<Long> copies = new ArrayList<>(List.of(Draw.within(chance, net.datagram())));
-        if (Draw.chance(chance, net.datagramDouble())) {
+        List<Long> copies = new ArrayList<>(List.of(Draw.within(random, net.datagram())));
+        if (Draw.chance(random, net.datagramDouble())) {
             datagramsDoubled++;
-            copies.add(Draw.within(chance, net.datagram()));
+            copies.add(Draw.within(random, net.datagram()));
         }
-        for (long after : copies) {
-            time.after(after, () -> {
+        for (long delayMicros : copies) {
+            time.after(delayMicros, () -> {
                 if (isCut(from, to)) {
                     datagramsCut++;
                 } else {
-                    arrives.run();
+                    onArrival.run();
                 }
             });
         }
     }
 
-    void held(int bytes) {
+    void countHeldBytes(int bytes) {
         bytesHeld += bytes;
     }
 
-    void reset() {
+    void countReset() {
         resets++;
     }
 
-    void over(Wire wire) {
-        wires.remove(wire);
+    void remove(FabricConnection connection) {
+        connections.remove(connection);
     }
 
     /** What has passed and what was lost so far. */
--- a/emulator/src/main/java/baymoor/emulator/fabric/Wire.java
+++ b/emulator/src/main/java/baymoor/emulator/fabric/FabricConnection.java
@@ -8,74 +8,74 @@
  * One connection through the fabric: to its host a connection, to the real one what happens on it. While its zones are cut off
  * neither hears of the other; what one says meanwhile is lost, and the connection with it once the cut is over.
  */
-final class Wire implements Link, LinkEvents {
+final class FabricConnection implements Link, LinkEvents {
 
     private final Fabric fabric;
     private final Link link;
-    private final int near;
-    private final int far;
+    private final int openerZone;
+    private final int hostZone;
     private LinkEvents host;
     /** Something was said or done that the host, or the real connection, never heard of. */
-    private boolean lostIn;
+    private boolean inboundLost;
 
-    private boolean lostOut;
+    private boolean outboundLost;
     /** The host knows that it is over, or never heard of it. */
-    private boolean told;
+    private boolean hostNotified;
     /** The real connection is over. */
-    private boolean ended;
+    private boolean connectionClosed;
 
-    Wire(Fabric fabric, Link link, int near, int far) {
+    FabricConnection(Fabric fabric, Link link, int openerZone, int hostZone) {
         this.fabric = fabric;
         this.link = link;
-        this.near = near;
-        this.far = far;
+        this.openerZone = openerZone;
+        this.hostZone = hostZone;
     }
 
     /** The call comes to the host, or is stuck at a cut like all else. */
-    void accepted(Function<Link, LinkEvents> acceptor) {
-        if (fabric.isCut(near, far)) {
-            lostIn = true;
-            told = true;
+    void accept(Function<Link, LinkEvents> acceptor) {
+        if (fabric.isCut(openerZone, hostZone)) {
+            inboundLost = true;
+            hostNotified = true;
             return;
         }
         host = acceptor.apply(this);
         if (host == null) {
-            told = true;
+            hostNotified = true;
             link.close();
         }
     }
 
-    private boolean hears() {
-        return !told && !lostIn && !fabric.isCut(near, far);
+    private boolean canReceive() {
+        return !hostNotified && !inboundLost && !fabric.isCut(openerZone, hostZone);
     }
 
-    private boolean says() {
-        return !ended && !lostOut && !fabric.isCut(far, near);
+    private boolean canSend() {
+        return !connectionClosed && !outboundLost && !fabric.isCut(hostZone, openerZone);
     }
 
     /** A cut is over: where neither way is cut any more, what was stuck is reset. */
-    void healed() {
-        if (!lostIn && !lostOut || fabric.isCut(near, far) || fabric.isCut(far, near)) {
+    void cutEnded() {
+        if (!inboundLost && !outboundLost || fabric.isCut(openerZone, hostZone) || fabric.isCut(hostZone, openerZone)) {
             return;
         }
-        fabric.reset();
-        lostIn = false;
-        lostOut = false;
-        if (ended) {
-            end();
+        fabric.countReset();
+        inboundLost = false;
+        outboundLost = false;
+        if (connectionClosed) {
+            finishClose();
         } else {
             link.close();
         }
     }
 
-    private void end() {
-        fabric.over(this);
-        tell();
+    private void finishClose() {
+        fabric.remove(this);
+        notifyHostClosed();
     }
 
-    private void tell() {
-        if (!told) {
-            told = true;
+    private void notifyHostClosed() {
+        if (!hostNotified) {
+            hostNotified = true;
             host.closed();
         }
     }
@@ -84,36 +84,36 @@
 
     @Override
     public void write(byte[] bytes) {
-        if (says()) {
+        if (canSend()) {
             link.write(bytes);
         } else {
-            lostOut = true;
-            fabric.held(bytes.length);
+            outboundLost = true;
+            fabric.countHeldBytes(bytes.length);
         }
     }
 
     @Override
     public void close() {
-        if (says()) {
+        if (canSend()) {
             link.close();
         } else {
-            closeUnheard();
+            closeDuringCut();
         }
     }
 
     @Override
     public void finish(boolean inAnyCase) {
-        if (says()) {
+        if (canSend()) {
             link.finish(inAnyCase);
         } else {
-            closeUnheard();
+            closeDuringCut();
         }
     }
 
     /** The host is done with it; the other side will hear of that once the cut is over. */
-    private void closeUnheard() {
-        lostOut = true;
-        fabric.time.after(0, this::tell);
+    private void closeDuringCut() {
+        outboundLost = true;
+        fabric.time.after(0, this::notifyHostClosed);
     }
 
     @Override
@@ -135,42 +135,42 @@
 
     @Override
     public void opened() {
-        if (hears()) {
+        if (canReceive()) {
             host.opened();
         }
     }
 
     @Override
     public void received(byte[] bytes) {
-        if (hears()) {
+        if (canReceive()) {
             host.received(bytes);
         } else {
-            lostIn = true;
-            fabric.held(bytes.length);
+            inboundLost = true;
+            fabric.countHeldBytes(bytes.length);
         }
     }
 
     @Override
     public void written() {
-        if (!told && says()) {
+        if (!hostNotified && canSend()) {
             host.written();
         }
     }
 
     @Override
     public void finished() {
-        if (!told) {
+        if (!hostNotified) {
             host.finished();
         }
     }
 
     @Override
     public void closed() {
-        ended = true;
-        if (fabric.isCut(near, far) && !told) {
-            lostIn = true; // the host hears of it when the cut is over
+        connectionClosed = true;
+        if (fabric.isCut(openerZone, hostZone) && !hostNotified) {
+            inboundLost = true; // the host hears of it when the cut is over
         } else {
-            end();
+            finishClose();
         }
     }
 }
--- a/emulator/src/main/java/baymoor/emulator/fabric/ZoneCuts.java
+++ b/emulator/src/main/java/baymoor/emulator/fabric/ZoneCuts.java
@@ -4,21 +4,21 @@
 public final class ZoneCuts {
 
     /** How many cuts keep what the first zone sends from the second. */
-    private final int[][] cuts;
+    private final int[][] activeCuts;
 
     /** Nothing is cut at first. */
     public ZoneCuts(int zones) {
-        cuts = new int[zones][zones];
+        activeCuts = new int[zones][zones];
     }
 
     /** Cuts the way from one zone to another, or ends such a cut. */
     public void cut(int from, int to, boolean cut) {
-        cuts[from][to] += cut ? 1 : -1;
+        activeCuts[from][to] += cut ? 1 : -1;
     }
 
     /** Cuts a zone off from all others in both directions, or ends such a cut. */
     public void cutOff(int zone, boolean cut) {
-        for (int other = 0; other < cuts.length; other++) {
+        for (int other = 0; other < activeCuts.length; other++) {
             if (other != zone) {
                 cut(zone, other, cut);
                 cut(other, zone, cut);
@@ -28,6 +28,6 @@
 
     /** Whether what one zone sends to another is lost at present. */
     public boolean isCut(int from, int to) {
-        return cuts[from][to] > 0;
+        return activeCuts[from][to] > 0;
     }
 }
--- a/emulator/src/main/java/baymoor/emulator/virtual/EventLog.java
+++ b/emulator/src/main/java/baymoor/emulator/virtual/EventLog.java
@@ -15,13 +15,13 @@
  */
 public final class EventLog {
 
-    private static final int FLUSH_AT = 1 << 15;
+    private static final int FLUSH_THRESHOLD_CHARS = 1 << 15;
 
     private final Engine engine;
     private final MessageDigest digest;
     private final OutputStream out;
-    private final StringBuilder lines = new StringBuilder(FLUSH_AT + 256);
-    private long count;
+    private final StringBuilder buffer = new StringBuilder(FLUSH_THRESHOLD_CHARS + 256);
+    private long lineCount;
 
     /** @param out gets the lines too, or null */
     public EventLog(Engine engine, OutputStream out) {
@@ -34,28 +34,28 @@
         }
     }
 
-    void line(String what, String who, String whom, long figure, long sum) {
-        count++;
-        lines.append(engine.elapsed())
+    void append(String event, String actor, String target, long value, long checksum) {
+        lineCount++;
+        buffer.append(engine.elapsedMicros())
                 .append(' ')
-                .append(what)
+                .append(event)
                 .append(' ')
-                .append(who)
+                .append(actor)
                 .append(' ')
-                .append(whom)
+                .append(target)
                 .append(' ')
-                .append(figure)
+                .append(value)
                 .append(' ')
-                .append(sum)
+                .append(checksum)
                 .append('\n');
-        if (lines.length() >= FLUSH_AT) {
+        if (buffer.length() >= FLUSH_THRESHOLD_CHARS) {
             flush();
         }
     }
 
     private void flush() {
-        byte[] bytes = lines.toString().getBytes(StandardCharsets.UTF_8);
-        lines.setLength(0);
+        byte[] bytes = buffer.toString().getBytes(StandardCharsets.UTF_8);
+        buffer.setLength(0);
         digest.update(bytes);
         try {
             if (out != null) {
@@ -68,7 +68,7 @@
 
     /** Lines written so far. */
     public long lines() {
-        return count;
+        return lineCount;
     }
 
     /** The SHA-256 of all lines; the log is at its end. */
--- a/emulator/src/main/java/baymoor/emulator/virtual/Sabotage.java
+++ b/emulator/src/main/java/baymoor/emulator/virtual/FaultInjector.java
@@ -8,17 +8,17 @@
  * What stands between the balancers and their connections. In a run nothing does; a test of the judge puts something
  * here that makes a good balancer act like a faulty one.
  */
-interface Sabotage {
+interface FaultInjector {
 
-    Sabotage NONE = new Sabotage() {};
+    FaultInjector NONE = new FaultInjector() {};
 
     /** The connections that a balancer opens. */
-    default Dialer dialer(Time time, Dialer real) {
-        return real;
+    default Dialer wrapDialer(Time time, Dialer actual) {
+        return actual;
     }
 
     /** A connection that a client has opened. */
-    default Link client(Time time, Link real) {
-        return real;
+    default Link wrapClientLink(Time time, Link actual) {
+        return actual;
     }
 }
--- a/emulator/src/main/java/baymoor/emulator/virtual/Speed.java
+++ b/emulator/src/main/java/baymoor/emulator/virtual/Speed.java
@@ -17,7 +17,7 @@
 
     private record Size(String name, int balancers, int routers, int rate, int seconds) {
         Scenario scenario() {
-            double shareOfUsual = rate / 170.0;
+            double scale = rate / 170.0;
             String text = """
                     warm_up = "2s"
                     duration = "%ds"
@@ -48,10 +48,10 @@
                             balancers,
                             routers - routers * 5 / 12,
                             routers * 5 / 12,
-                            Math.round(40 * shareOfUsual),
-                            Math.round(6 * shareOfUsual) + 1,
-                            Math.round(60 * shareOfUsual),
-                            Math.round(8000 * Math.max(1, Math.sqrt(shareOfUsual))),
+                            Math.round(40 * scale),
+                            Math.round(6 * scale) + 1,
+                            Math.round(60 * scale),
+                            Math.round(8000 * Math.max(1, Math.sqrt(scale))),
                             rate);
             return ScenarioReader.own(text, name);
         }
@@ -72,11 +72,11 @@
         for (int i = -1; i < repeats; i++) {
             for (int s = 0; s < (i < 0 ? 1 : SIZES.size()); s++) { // the smallest warms up for all
                 progress.accept("run " + (i + 1) + " of " + repeats + ": " + SIZES.get(s).name);
-                VirtualRun.Result r =
+                VirtualRun.Result result =
                         VirtualRun.play(SIZES.get(s).scenario(), new VirtualRun.Options(1, null, true, at -> {}));
                 if (i >= 0) {
-                    times[s][i] = r.virtual() * 1e3 / r.wallNanos();
-                    events[s][i] = r.events() * 1e9 / r.wallNanos();
+                    times[s][i] = result.virtual() * 1e3 / result.wallNanos();
+                    events[s][i] = result.events() * 1e9 / result.wallNanos();
                 }
             }
         }
@@ -93,11 +93,11 @@
     /** The rows as a JSON array. */
     public static ArrayNode json(List<Row> rows) {
         ArrayNode all = new ObjectMapper().createArrayNode();
-        rows.forEach(r -> all.addObject()
-                .put("fleet", r.name)
-                .put("virtual_seconds_per_second", r.times)
-                .put("events_per_second", r.eventsPerSecond)
-                .put("nanos_per_event", r.nanosPerEvent));
+        rows.forEach(result -> all.addObject()
+                .put("fleet", result.name)
+                .put("virtual_seconds_per_second", result.times)
+                .put("events_per_second", result.eventsPerSecond)
+                .put("nanos_per_event", result.nanosPerEvent));
         return all;
     }
 }
--- a/emulator/src/main/java/baymoor/emulator/virtual/VirtualFleet.java
+++ b/emulator/src/main/java/baymoor/emulator/virtual/VirtualFleet.java
@@ -7,7 +7,7 @@
 import baymoor.counters.Counters;
 import baymoor.emulator.chance.Streams;
 import baymoor.emulator.engine.Engine;
-import baymoor.emulator.engine.Site;
+import baymoor.emulator.engine.VirtualProcess;
 import baymoor.emulator.judge.Judge;
 import baymoor.emulator.scenario.Scenario;
 import baymoor.emulator.world.BalancerConfig;
@@ -26,7 +26,7 @@
 
     private static final Logger LOG = LoggerFactory.getLogger(VirtualFleet.class);
     /** As a heap of 48 MB would allow; a figure of its own, so that no run depends on the emulator's heap. */
-    private static final long MOST_VALUE_BYTES = 8 << 20;
+    private static final long MAX_VALUE_BYTES = 8 << 20;
 
     private final Engine engine;
     private final Scenario scenario;
@@ -36,29 +36,29 @@
     private final Judge judge;
     private final EventLog log;
     private final Watcher watcher;
-    private final Sabotage sabotage;
+    private final FaultInjector faults;
     private final UniformRandomProvider seeds;
     private final List<Balancer> balancers = new ArrayList<>();
 
     private final class Balancer {
         final int number;
-        final Site site;
+        final VirtualProcess process;
         Assembly assembly;
         boolean up;
-        int life;
-        long failuresSeen;
+        int incarnation;
+        long reportedFailures;
 
         Balancer(int number) {
             this.number = number;
             String name = "n" + number;
-            site = new Site(
+            process = new VirtualProcess(
                     engine,
                     name,
                     number % scenario.zones().size(),
                     false,
                     scenario.balancers().eventMicros(),
                     failure -> judge.invariant(name, failure.toString()));
-            net.balancer(site, number);
+            net.registerBalancer(process, number);
         }
     }
 
@@ -72,8 +72,8 @@
             Streams streams,
             EventLog log,
             Watcher watcher,
-            Sabotage sabotage) {
-        this.sabotage = sabotage;
+            FaultInjector faults) {
+        this.faults = faults;
         this.engine = engine;
         this.scenario = scenario;
         this.net = net;
@@ -84,7 +84,7 @@
         this.watcher = watcher;
         seeds = streams.of("balancers");
         int count = scenario.balancers().count();
-        net.group(
+        net.addMulticastGroup(
                 platform.everyone(),
                 IntStream.range(0, count).mapToObj(b -> platform.peer(b, b)).toList());
         for (int b = 0; b < count; b++) {
@@ -99,54 +99,57 @@
 
     private void start(Balancer b) {
         String json = BalancerConfig.json(scenario, platform, world, b.number, seeds.nextLong());
-        b.site.bear();
+        b.process.restart();
         world.starts(b.number);
         try {
             Assembly assembly = new Assembly(
                     Config.parse(json, Map.of()),
                     new Assembly.Surroundings(
-                            b.site,
-                            sabotage.dialer(b.site, net.dialer(b.site)),
-                            (to, content) -> net.send(b.site, platform.peer(b.number, b.number), to, content),
+                            b.process,
+                            faults.wrapDialer(b.process, net.dialer(b.process)),
+                            (to, content) -> net.send(b.process, platform.peer(b.number, b.number), to, content),
                             millis -> millis * 1000,
-                            MOST_VALUE_BYTES,
+                            MAX_VALUE_BYTES,
                             new Counters(),
                             line -> LOG.atDebug()
-                                    .addKeyValue("instance", b.site.name())
-                                    .addKeyValue("at_us", engine.elapsed())
+                                    .addKeyValue("instance", b.process.name())
+                                    .addKeyValue("at_us", engine.elapsedMicros())
                                     .log(line)));
             b.assembly = assembly;
-            b.failuresSeen = 0;
-            net.receive(platform.peer(b.number, b.number), b.site, assembly::heard);
-            b.site.post(() -> assembly.start(() -> serve(b, assembly)));
+            b.reportedFailures = 0;
+            net.bindDatagrams(platform.peer(b.number, b.number), b.process, assembly::heard);
+            b.process.post(() -> assembly.start(() -> serve(b, assembly)));
         } catch (BadConfig e) {
             throw new IllegalStateException("a configuration of our own making is bad: " + e.getMessage(), e);
         }
-        log.line("start", b.site.name(), "-", b.life, 0);
+        log.append("start", b.process.name(), "-", b.incarnation, 0);
     }
 
     private void serve(Balancer b, Assembly assembly) {
-        net.listen(platform.balancer(b.number), b.site, (link, from) -> assembly.client(sabotage.client(b.site, link)));
+        net.listen(
+                platform.balancer(b.number),
+                b.process,
+                (link, from) -> assembly.client(faults.wrapClientLink(b.process, link)));
         b.up = true;
         watcher.ready(b.number);
     }
 
-    private void startLater(Balancer b, long micros) {
-        int life = ++b.life;
+    private void scheduleStart(Balancer b, long micros) {
+        int incarnation = ++b.incarnation;
         engine.after(micros, () -> {
-            if (life == b.life) {
+            if (incarnation == b.incarnation) {
                 start(b);
             }
         });
     }
 
-    private void end(Balancer b, boolean silently) {
-        look(b);
-        log.line("end", b.site.name(), "-", b.life, 0);
+    private void terminate(Balancer b, boolean silently) {
+        checkCounters(b);
+        log.append("end", b.process.name(), "-", b.incarnation, 0);
         b.up = false;
         b.assembly = null;
-        b.site.die();
-        net.died(b.site, silently);
+        b.process.terminate();
+        net.processDied(b.process, silently);
         watcher.ended(b.number);
     }
 
@@ -171,12 +174,12 @@
             return;
         }
         b.up = false;
-        log.line("term", b.site.name(), "-", b.life, 0);
+        log.append("term", b.process.name(), "-", b.incarnation, 0);
         Assembly ending = b.assembly;
-        b.site.post(() -> ending.drain(() -> net.stopListening(platform.balancer(balancer)), () -> {
+        b.process.post(() -> ending.drain(() -> net.stopListening(platform.balancer(balancer)), () -> {
             // What it leaves unanswered by ending is its own doing, so nothing is excused.
-            end(b, false);
-            startLater(b, scenario.balancers().startMicros());
+            terminate(b, false);
+            scheduleStart(b, scenario.balancers().startMicros());
         }));
     }
 
@@ -185,37 +188,37 @@
         Balancer b = balancers.get(balancer);
         judge.died(balancer);
         if (b.assembly != null) {
-            end(b, silently);
+            terminate(b, silently);
         }
-        startLater(b, Math.max(forMicros, scenario.balancers().startMicros()));
+        scheduleStart(b, Math.max(forMicros, scenario.balancers().startMicros()));
     }
 
     @Override
     public void stall(int balancer, long forMicros) {
         Balancer b = balancers.get(balancer);
         judge.stalled(balancer, engine.now() + forMicros);
-        b.site.stall(forMicros);
+        b.process.stall(forMicros);
     }
 
     /** Looks whether a balancer's own counters tell of something that should never be. */
-    void look() {
-        balancers.forEach(this::look);
+    void checkCounters() {
+        balancers.forEach(this::checkCounters);
     }
 
-    private void look(Balancer b) {
+    private void checkCounters(Balancer b) {
         if (b.assembly == null) {
             return;
         }
         Counters counters = b.assembly.counters();
         long failures =
                 counters.get(Count.DECISION_FAILURES) + counters.get(Count.TASK_FAILURES) + counters.get(Count.OVERDUE);
-        if (failures > b.failuresSeen) {
+        if (failures > b.reportedFailures) {
             judge.invariant(
-                    b.site.name(),
+                    b.process.name(),
                     "decision failures " + counters.get(Count.DECISION_FAILURES)
                             + ", task failures " + counters.get(Count.TASK_FAILURES) + ", overdue "
                             + counters.get(Count.OVERDUE));
-            b.failuresSeen = failures;
+            b.reportedFailures = failures;
         }
     }
 }
--- a/emulator/src/main/java/baymoor/emulator/virtual/VirtualLink.java
+++ b/emulator/src/main/java/baymoor/emulator/virtual/VirtualLink.java
@@ -1,6 +1,6 @@
 package baymoor.emulator.virtual;
 
-import baymoor.emulator.engine.Site;
+import baymoor.emulator.engine.VirtualProcess;
 import baymoor.emulator.world.Acceptor;
 import baymoor.emulator.world.Tracked;
 import baymoor.link.LinkEvents;
@@ -12,40 +12,41 @@
 final class VirtualLink implements Tracked {
 
     /** From a balancer's word to write until the bytes are with the network, as with a thread of I/O between. */
-    private static final long LEAVING_MICROS = 20;
+    private static final long SEND_DELAY_MICROS = 20;
 
     private final VirtualNet net;
-    private final Site site;
+    private final VirtualProcess process;
     private final long number;
-    private final InetSocketAddress to;
-    private final ArrayDeque<Delivery> held = new ArrayDeque<>();
-    private final ArrayDeque<Delivery> leaving = new ArrayDeque<>();
+    private final InetSocketAddress remoteAddress;
+    private final ArrayDeque<Delivery> pausedDeliveries = new ArrayDeque<>();
+    private final ArrayDeque<Delivery> queuedDeliveries = new ArrayDeque<>();
     private LinkEvents events;
-    private VirtualLink far;
-    private boolean dialled;
+    private VirtualLink peer;
+    private boolean openedByBalancer;
     /** This side has ended it; the other side has; and this side's process has been told so. */
-    private boolean closing;
+    private boolean closedLocally;
 
-    private boolean ended;
-    private boolean over;
+    private boolean closedRemotely;
+    private boolean closeDelivered;
     private boolean reading = true;
     private long lastArrival;
-    private int untold;
+    private int undeliveredBytes;
     private Ending ending = Ending.OPEN;
 
-    private record Delivery(byte[] bytes, Runnable delivered) {}
+    private record Delivery(byte[] bytes, Runnable onDelivered) {}
 
-    VirtualLink(VirtualNet net, Site site, LinkEvents events, long number, InetSocketAddress to) {
+    VirtualLink(
+            VirtualNet net, VirtualProcess process, LinkEvents events, long number, InetSocketAddress remoteAddress) {
         this.net = net;
-        this.site = site;
+        this.process = process;
         this.events = events;
         this.number = number;
-        this.to = to;
+        this.remoteAddress = remoteAddress;
     }
 
     /** What goes this way on this connection comes in its order. */
-    private long course() {
-        return 2 * number + (to == null ? 1 : 2);
+    private long orderingKey() {
+        return 2 * number + (remoteAddress == null ? 1 : 2);
     }
 
     long number() {
@@ -53,32 +54,32 @@
     }
 
     /** Whether a balancer opened it: then its bytes leave a little later, and the tap sees them. */
-    void openedByBalancer(boolean byBalancer) {
-        dialled = byBalancer;
+    void setOpenedByBalancer(boolean byBalancer) {
+        openedByBalancer = byBalancer;
     }
 
     /** Whether this side has ended it, or it has been ended for this side. */
-    boolean done() {
-        return over || closing || ended;
+    boolean isClosed() {
+        return closeDelivered || closedLocally || closedRemotely;
     }
 
     /** A call that is lost at a cut: there is no other side. */
-    void connectToNobody(Site there) {
-        far = new VirtualLink(net, there, null, number, null);
-        far.over = true;
-        far.far = this;
+    void connectUnreachable(VirtualProcess peerProcess) {
+        peer = new VirtualLink(net, peerProcess, null, number, null);
+        peer.closeDelivered = true;
+        peer.peer = this;
     }
 
     /** A call that has come to a machine that listens; gives the other side. */
-    VirtualLink connectTo(Site there) {
-        far = new VirtualLink(net, there, null, number, null);
-        far.far = this;
-        return far;
+    VirtualLink connectTo(VirtualProcess peerProcess) {
+        peer = new VirtualLink(net, peerProcess, null, number, null);
+        peer.peer = this;
+        return peer;
     }
 
     /** The process that was called takes the connection, or refuses it. */
     void accept(Acceptor acceptor, int balancer) {
-        LinkEvents taken = over ? null : acceptor.accept(this, balancer);
+        LinkEvents taken = closeDelivered ? null : acceptor.accept(this, balancer);
         if (taken == null) {
             close();
         } else {
@@ -88,15 +89,15 @@
     }
 
     /** Tells the caller that the connection is up, once that has travelled back. */
-    void tellOpened() {
-        lastArrival = net.engine.now() + net.delay(site, far.site);
-        net.engine.at(lastArrival, course(), () -> far.opened());
+    void notifyOpened() {
+        lastArrival = net.engine.now() + net.delay(process, peer.process);
+        net.engine.schedule(lastArrival, orderingKey(), () -> peer.opened());
     }
 
     private void opened() {
-        if (!over && !closing) {
-            site.post(() -> {
-                if (!over && !closing) {
+        if (!closeDelivered && !closedLocally) {
+            process.post(() -> {
+                if (!closeDelivered && !closedLocally) {
                     events.opened();
                 }
             });
@@ -104,11 +105,11 @@
     }
 
     /** A cut is over: what was stuck on a way that is open again is lost, and the connection is reset. */
-    void healed() {
-        if (!net.isCut(site, far.site)) {
-            net.stuck.remove(this);
-            long after = net.delay(site, far.site);
-            net.engine.after(after, () -> ended(Ending.CUT));
+    void resetAfterCut() {
+        if (!net.isCut(process, peer.process)) {
+            net.blocked.remove(this);
+            long after = net.delay(process, peer.process);
+            net.engine.after(after, () -> closedByNetwork(Ending.CUT));
         }
     }
 
@@ -118,70 +119,70 @@
     }
 
     @Override
-    public void write(byte[] bytes, Runnable delivered) {
-        if (closing || ended || over || far == null || bytes.length == 0) {
+    public void write(byte[] bytes, Runnable onDelivered) {
+        if (closedLocally || closedRemotely || closeDelivered || peer == null || bytes.length == 0) {
             return;
         }
-        Delivery delivery = new Delivery(bytes, delivered);
-        if (!dialled) {
-            depart(delivery);
+        Delivery delivery = new Delivery(bytes, onDelivered);
+        if (!openedByBalancer) {
+            transmit(delivery);
             return;
         }
-        leaving.add(delivery);
-        net.engine.at(net.engine.now() + LEAVING_MICROS, course(), () -> {
-            if (leaving.remove(delivery)) {
-                depart(delivery);
+        queuedDeliveries.add(delivery);
+        net.engine.schedule(net.engine.now() + SEND_DELAY_MICROS, orderingKey(), () -> {
+            if (queuedDeliveries.remove(delivery)) {
+                transmit(delivery);
             }
         });
     }
 
     /** The bytes go out, and the process is told so: also one that has closed the connection meanwhile. */
-    private void depart(Delivery delivery) {
-        if (ended || over) {
+    private void transmit(Delivery delivery) {
+        if (closedRemotely || closeDelivered) {
             return;
         }
-        if (dialled && net.tap != null) {
-            net.tap.sent(site, number, to, delivery.bytes);
+        if (openedByBalancer && net.observer != null) {
+            net.observer.sent(process, number, remoteAddress, delivery.bytes);
         }
-        site.post(() -> {
-            if (!over) {
+        process.post(() -> {
+            if (!closeDelivered) {
                 events.written();
             }
         });
-        if (net.isCut(site, far.site)) {
-            net.stuck.add(this);
+        if (net.isCut(process, peer.process)) {
+            net.blocked.add(this);
             return;
         }
-        lastArrival = Math.max(lastArrival, net.engine.now() + net.delay(site, far.site));
-        net.engine.at(lastArrival, course(), () -> far.arrive(delivery));
+        lastArrival = Math.max(lastArrival, net.engine.now() + net.delay(process, peer.process));
+        net.engine.schedule(lastArrival, orderingKey(), () -> peer.arrive(delivery));
     }
 
     private void arrive(Delivery delivery) {
-        if (net.isCut(site, far.site)) {
-            net.stuck.add(far);
+        if (net.isCut(process, peer.process)) {
+            net.blocked.add(peer);
             return;
         }
-        if (over || closing || ended || !site.alive()) {
+        if (closeDelivered || closedLocally || closedRemotely || !process.alive()) {
             return;
         }
-        net.log.line("bytes", far.site.name(), site.name(), number, net.sum(delivery.bytes));
-        untold += delivery.bytes.length;
+        net.log.append("bytes", peer.process.name(), process.name(), number, net.checksum(delivery.bytes));
+        undeliveredBytes += delivery.bytes.length;
         if (reading) {
-            tell(delivery);
+            deliver(delivery);
         } else {
-            held.add(delivery);
+            pausedDeliveries.add(delivery);
         }
     }
 
-    private void tell(Delivery delivery) {
-        site.post(() -> {
-            untold -= delivery.bytes.length;
-            if (!over && !closing && events != null) {
-                if (dialled && net.tap != null) {
-                    net.tap.received(number);
+    private void deliver(Delivery delivery) {
+        process.post(() -> {
+            undeliveredBytes -= delivery.bytes.length;
+            if (!closeDelivered && !closedLocally && events != null) {
+                if (openedByBalancer && net.observer != null) {
+                    net.observer.received(number);
                 }
-                if (delivery.delivered != null) {
-                    delivery.delivered.run();
+                if (delivery.onDelivered != null) {
+                    delivery.onDelivered.run();
                 }
                 events.received(delivery.bytes);
             }
@@ -190,80 +191,80 @@
 
     @Override
     public void close() {
-        if (closing || over) {
+        if (closedLocally || closeDelivered) {
             return;
         }
-        closing = true;
-        if (ended) {
+        closedLocally = true;
+        if (closedRemotely) {
             return; // its end is on the way to this side already
         }
         ending = Ending.BY_THIS_SIDE;
         // What was handed over and has not left may leave all the same, or be dropped: the two cross.
-        while (!leaving.isEmpty()) {
-            Delivery delivery = leaving.poll();
-            if (net.chance(site).nextBoolean()) {
-                depart(delivery);
+        while (!queuedDeliveries.isEmpty()) {
+            Delivery delivery = queuedDeliveries.poll();
+            if (net.random(process).nextBoolean()) {
+                transmit(delivery);
             }
         }
-        gone();
-        site.post(() -> {
-            if (!over) {
-                over = true;
+        deregister();
+        process.post(() -> {
+            if (!closeDelivered) {
+                closeDelivered = true;
                 if (events != null) {
                     events.closed();
                 }
             }
         });
-        tellFar(Ending.BY_OTHER_SIDE);
+        notifyPeerClosed(Ending.BY_OTHER_SIDE);
     }
 
-    private void gone() {
-        Set<VirtualLink> ends = net.open.get(site);
-        if (ends != null) {
-            ends.remove(this);
+    private void deregister() {
+        Set<VirtualLink> links = net.open.get(process);
+        if (links != null) {
+            links.remove(this);
         }
-        net.stuck.remove(this);
-        if (dialled && net.tap != null) {
-            net.tap.closed(number);
+        net.blocked.remove(this);
+        if (openedByBalancer && net.observer != null) {
+            net.observer.closed(number);
         }
     }
 
-    private void tellFar(Ending how) {
-        if (far == null || far.over) {
+    private void notifyPeerClosed(Ending cause) {
+        if (peer == null || peer.closeDelivered) {
             return;
         }
-        if (net.isCut(site, far.site)) {
-            net.stuck.add(far);
+        if (net.isCut(process, peer.process)) {
+            net.blocked.add(peer);
             return;
         }
-        lastArrival = Math.max(lastArrival, net.engine.now() + net.delay(site, far.site));
-        net.engine.at(lastArrival, course(), () -> {
-            if (net.isCut(site, far.site)) {
-                net.stuck.add(far);
+        lastArrival = Math.max(lastArrival, net.engine.now() + net.delay(process, peer.process));
+        net.engine.schedule(lastArrival, orderingKey(), () -> {
+            if (net.isCut(process, peer.process)) {
+                net.blocked.add(peer);
             } else {
-                far.ended(how);
+                peer.closedByNetwork(cause);
             }
         });
     }
 
     /** The other side, or the network, has ended it. */
-    void ended(Ending how) {
-        if (closing || ended || over || !site.alive()) {
+    void closedByNetwork(Ending cause) {
+        if (closedLocally || closedRemotely || closeDelivered || !process.alive()) {
             return;
         }
-        ended = true;
-        ending = how;
-        gone();
-        if (how == Ending.CUT) {
-            net.log.line("reset", site.name(), far.site.name(), number, 0);
-            if (!far.over && !far.closing && !far.ended) {
-                VirtualLink other = far;
-                net.engine.after(net.delay(site, other.site), () -> other.ended(Ending.CUT));
+        closedRemotely = true;
+        ending = cause;
+        deregister();
+        if (cause == Ending.CUT) {
+            net.log.append("reset", process.name(), peer.process.name(), number, 0);
+            if (!peer.closeDelivered && !peer.closedLocally && !peer.closedRemotely) {
+                VirtualLink other = peer;
+                net.engine.after(net.delay(process, other.process), () -> other.closedByNetwork(Ending.CUT));
             }
         }
-        site.post(() -> {
-            if (!over) {
-                over = true;
+        process.post(() -> {
+            if (!closeDelivered) {
+                closeDelivered = true;
                 if (events != null) {
                     events.closed();
                 }
@@ -271,24 +272,24 @@
         });
     }
 
-    void died(boolean silently) {
-        over = true;
-        net.stuck.remove(this);
-        if (dialled && net.tap != null) {
-            net.tap.closed(number);
+    void processDied(boolean silently) {
+        closeDelivered = true;
+        net.blocked.remove(this);
+        if (openedByBalancer && net.observer != null) {
+            net.observer.closed(number);
         }
         if (!silently) {
-            tellFar(Ending.OTHER_SIDE_DIED);
+            notifyPeerClosed(Ending.OTHER_SIDE_DIED);
         }
     }
 
     @Override
     public void finish(boolean inAnyCase) {
-        if (closing || over || !inAnyCase && untold > 0) {
+        if (closedLocally || closeDelivered || !inAnyCase && undeliveredBytes > 0) {
             return; // what has come in is told, and its state machine thinks again
         }
-        site.post(() -> {
-            if (!over && events != null) {
+        process.post(() -> {
+            if (!closeDelivered && events != null) {
                 events.finished();
             }
         });
@@ -297,19 +298,19 @@
 
     @Override
     public boolean over() {
-        return over || ended;
+        return closeDelivered || closedRemotely;
     }
 
     @Override
     public boolean unread() {
-        return untold > 0;
+        return undeliveredBytes > 0;
     }
 
     @Override
     public void reading(boolean on) {
         reading = on;
-        while (reading && !held.isEmpty()) {
-            tell(held.poll());
+        while (reading && !pausedDeliveries.isEmpty()) {
+            deliver(pausedDeliveries.poll());
         }
     }
 
--- a/emulator/src/main/java/baymoor/emulator/virtual/VirtualNet.java
+++ b/emulator/src/main/java/baymoor/emulator/virtual/VirtualNet.java
@@ -3,7 +3,7 @@
 import baymoor.emulator.chance.Draw;
 import baymoor.emulator.chance.Streams;
 import baymoor.emulator.engine.Engine;
-import baymoor.emulator.engine.Site;
+import baymoor.emulator.engine.VirtualProcess;
 import baymoor.emulator.fabric.ZoneCuts;
 import baymoor.emulator.scenario.Scenario;
 import baymoor.emulator.world.Acceptor;
@@ -29,38 +29,38 @@
 final class VirtualNet {
 
     /** Sees what a balancer does on the connections that it opened itself. */
-    interface Tap {
-        void sent(Site balancer, long connection, InetSocketAddress to, byte[] bytes);
+    interface ConnectionObserver {
+        void sent(VirtualProcess balancer, long connection, InetSocketAddress to, byte[] bytes);
 
         void received(long connection);
 
         void closed(long connection);
     }
 
-    private static final double MOST_JITTER = 6;
+    private static final double MAX_JITTER_FACTOR = 6;
 
-    private record Listener(Site site, Acceptor acceptor) {}
+    private record Listener(VirtualProcess process, Acceptor acceptor) {}
 
-    private record Mailbox(Site site, BiConsumer<InetSocketAddress, byte[]> received) {}
+    private record DatagramReceiver(VirtualProcess process, BiConsumer<InetSocketAddress, byte[]> received) {}
 
     final Engine engine;
     private final Scenario.Net net;
     final EventLog log;
     private final Streams streams;
-    private final long[][] crossing;
+    private final long[][] crossZoneMicros;
     private final ZoneCuts cuts;
     private final Map<InetSocketAddress, Listener> listeners = new HashMap<>();
-    private final Map<InetSocketAddress, Mailbox> mailboxes = new HashMap<>();
-    private final Map<InetSocketAddress, List<InetSocketAddress>> groups = new HashMap<>();
-    final Map<Site, Set<VirtualLink>> open = new HashMap<>();
-    private final Map<Site, UniformRandomProvider> chances = new HashMap<>();
-    private final Map<Site, Integer> balancers = new HashMap<>();
-    private final Set<InetSocketAddress> silent = new LinkedHashSet<>();
-    final Set<VirtualLink> stuck = new LinkedHashSet<>();
-    private final CRC32C sum = new CRC32C();
-    Tap tap;
-    private double loss;
-    private long connections;
+    private final Map<InetSocketAddress, DatagramReceiver> datagramReceivers = new HashMap<>();
+    private final Map<InetSocketAddress, List<InetSocketAddress>> multicastGroups = new HashMap<>();
+    final Map<VirtualProcess, Set<VirtualLink>> open = new HashMap<>();
+    private final Map<VirtualProcess, UniformRandomProvider> randoms = new HashMap<>();
+    private final Map<VirtualProcess, Integer> balancers = new HashMap<>();
+    private final Set<InetSocketAddress> unreachable = new LinkedHashSet<>();
+    final Set<VirtualLink> blocked = new LinkedHashSet<>();
+    private final CRC32C checksum = new CRC32C();
+    ConnectionObserver observer;
+    private double extraDatagramLoss;
+    private long connectionCount;
 
     VirtualNet(Engine engine, Scenario scenario, Streams streams, EventLog log) {
         this.engine = engine;
@@ -68,34 +68,34 @@
         this.streams = streams;
         this.log = log;
         int zones = scenario.zones().size();
-        crossing = new long[zones][zones];
+        crossZoneMicros = new long[zones][zones];
         cuts = new ZoneCuts(zones);
         UniformRandomProvider from = streams.of("net");
         for (int a = 0; a < zones; a++) {
             for (int b = 0; b < a; b++) {
-                crossing[a][b] = Draw.within(from, net.cross());
-                crossing[b][a] = crossing[a][b];
+                crossZoneMicros[a][b] = Draw.within(from, net.cross());
+                crossZoneMicros[b][a] = crossZoneMicros[a][b];
             }
         }
     }
 
     /** From now on what these sites send and receive on connections of their own is shown to the tap. */
-    void tap(Tap watcher) {
-        tap = watcher;
+    void observe(ConnectionObserver newObserver) {
+        observer = newObserver;
     }
 
-    void balancer(Site site, int number) {
-        balancers.put(site, number);
+    void registerBalancer(VirtualProcess process, int number) {
+        balancers.put(process, number);
     }
 
     /** The number of a balancer's site, -1 for any other. */
-    int number(Site site) {
-        return balancers.getOrDefault(site, -1);
+    int balancerNumber(VirtualProcess process) {
+        return balancers.getOrDefault(process, -1);
     }
 
-    void listen(InetSocketAddress address, Site site, Acceptor acceptor) {
-        listeners.put(address, new Listener(site, acceptor));
-        silent.remove(address);
+    void listen(InetSocketAddress address, VirtualProcess process, Acceptor acceptor) {
+        listeners.put(address, new Listener(process, acceptor));
+        unreachable.remove(address);
     }
 
     void stopListening(InetSocketAddress address) {
@@ -103,143 +103,144 @@
     }
 
     /** The machine at this address is gone without a word: who calls it hears nothing. */
-    void silence(InetSocketAddress address) {
+    void makeUnreachable(InetSocketAddress address) {
         listeners.remove(address);
-        silent.add(address);
+        unreachable.add(address);
     }
 
-    void receive(InetSocketAddress address, Site site, BiConsumer<InetSocketAddress, byte[]> received) {
-        mailboxes.put(address, new Mailbox(site, received));
+    void bindDatagrams(
+            InetSocketAddress address, VirtualProcess process, BiConsumer<InetSocketAddress, byte[]> received) {
+        datagramReceivers.put(address, new DatagramReceiver(process, received));
     }
 
-    void group(InetSocketAddress address, List<InetSocketAddress> members) {
-        groups.put(address, members);
+    void addMulticastGroup(InetSocketAddress address, List<InetSocketAddress> members) {
+        multicastGroups.put(address, members);
     }
 
-    Dialer dialer(Site from) {
+    Dialer dialer(VirtualProcess from) {
         return (to, events) -> dial(from, to, events);
     }
 
     /** Share of datagrams lost beside what the scenario loses always. */
-    void loss(double share) {
-        loss = share;
+    void extraDatagramLoss(double share) {
+        extraDatagramLoss = share;
     }
 
     /** Cuts a zone off from all others, or joins it to them again. */
     void cut(int zone, boolean cut) {
         cuts.cutOff(zone, cut);
         if (!cut) {
-            for (VirtualLink link : List.copyOf(stuck)) {
-                link.healed();
+            for (VirtualLink link : List.copyOf(blocked)) {
+                link.resetAfterCut();
             }
         }
     }
 
-    boolean isCut(Site a, Site b) {
+    boolean isCut(VirtualProcess a, VirtualProcess b) {
         return !a.client() && !b.client() && cuts.isCut(a.zone(), b.zone());
     }
 
-    UniformRandomProvider chance(Site site) {
-        return chances.computeIfAbsent(site, s -> streams.of("net " + s.name()));
+    UniformRandomProvider random(VirtualProcess process) {
+        return randoms.computeIfAbsent(process, s -> streams.of("net " + s.name()));
     }
 
-    long delay(Site from, Site to) {
-        long least = from.client() || to.client()
+    long delay(VirtualProcess from, VirtualProcess to) {
+        long baseMicros = from.client() || to.client()
                 ? net.client()
-                : from.zone() == to.zone() ? net.same() : crossing[from.zone()][to.zone()];
+                : from.zone() == to.zone() ? net.same() : crossZoneMicros[from.zone()][to.zone()];
         if (net.jitter() == 0) {
-            return least;
+            return baseMicros;
         }
-        return (long) (least * (1 + net.jitter() * Math.min(MOST_JITTER, Draw.exponential(chance(from)))));
+        return (long) (baseMicros * (1 + net.jitter() * Math.min(MAX_JITTER_FACTOR, Draw.exponential(random(from)))));
     }
 
     /** The process at a site is gone: its connections are reset, or silent where the whole machine vanished. */
-    void died(Site site, boolean silently) {
+    void processDied(VirtualProcess process, boolean silently) {
         listeners.entrySet().removeIf(e -> {
-            boolean its = e.getValue().site == site;
-            if (its && silently) {
-                silent.add(e.getKey());
+            boolean ownedByProcess = e.getValue().process == process;
+            if (ownedByProcess && silently) {
+                unreachable.add(e.getKey());
             }
-            return its;
+            return ownedByProcess;
         });
-        mailboxes.values().removeIf(m -> m.site == site);
-        Set<VirtualLink> ends = open.remove(site);
-        if (ends != null) {
-            for (VirtualLink end : List.copyOf(ends)) {
-                end.died(silently);
+        datagramReceivers.values().removeIf(m -> m.process == process);
+        Set<VirtualLink> links = open.remove(process);
+        if (links != null) {
+            for (VirtualLink link : List.copyOf(links)) {
+                link.processDied(silently);
             }
         }
     }
 
-    void send(Site from, InetSocketAddress source, InetSocketAddress to, byte[] content) {
-        List<InetSocketAddress> members = groups.get(to);
+    void send(VirtualProcess from, InetSocketAddress source, InetSocketAddress to, byte[] content) {
+        List<InetSocketAddress> members = multicastGroups.get(to);
         if (members != null) {
             members.stream().filter(m -> !m.equals(source)).forEach(m -> send(from, source, m, content));
             return;
         }
-        Mailbox box = mailboxes.get(to);
-        UniformRandomProvider chance = chance(from);
-        int copies = Draw.chance(chance, Math.max(loss, net.datagramLoss()))
+        DatagramReceiver receiver = datagramReceivers.get(to);
+        UniformRandomProvider random = random(from);
+        int copies = Draw.chance(random, Math.max(extraDatagramLoss, net.datagramLoss()))
                 ? 0
-                : Draw.chance(chance, net.datagramDouble()) ? 2 : 1;
-        if (box == null || isCut(from, box.site)) {
+                : Draw.chance(random, net.datagramDouble()) ? 2 : 1;
+        if (receiver == null || isCut(from, receiver.process)) {
             return;
         }
         for (int i = 0; i < copies; i++) {
-            long after = delay(from, box.site) + Draw.within(chance, net.datagram());
+            long after = delay(from, receiver.process) + Draw.within(random, net.datagram());
             engine.after(after, () -> {
-                Mailbox there = mailboxes.get(to);
-                if (there != null && !isCut(from, there.site)) {
-                    log.line("datagram", from.name(), there.site.name(), content.length, sum(content));
-                    there.site.post(() -> there.received.accept(source, content));
+                DatagramReceiver there = datagramReceivers.get(to);
+                if (there != null && !isCut(from, there.process)) {
+                    log.append("datagram", from.name(), there.process.name(), content.length, checksum(content));
+                    there.process.post(() -> there.received.accept(source, content));
                 }
             });
         }
     }
 
-    long sum(byte[] bytes) {
-        sum.reset();
-        sum.update(bytes);
-        return sum.getValue();
+    long checksum(byte[] bytes) {
+        checksum.reset();
+        checksum.update(bytes);
+        return checksum.getValue();
     }
 
-    private Link dial(Site from, InetSocketAddress to, LinkEvents events) {
-        VirtualLink near = new VirtualLink(this, from, events, ++connections, to);
-        near.openedByBalancer(balancers.containsKey(from));
-        open.computeIfAbsent(from, s -> new LinkedHashSet<>()).add(near);
+    private Link dial(VirtualProcess from, InetSocketAddress to, LinkEvents events) {
+        VirtualLink callerLink = new VirtualLink(this, from, events, ++connectionCount, to);
+        callerLink.setOpenedByBalancer(balancers.containsKey(from));
+        open.computeIfAbsent(from, s -> new LinkedHashSet<>()).add(callerLink);
         Listener at = listeners.get(to);
         if (at == null) {
-            if (!silent.contains(to)) { // the machine is there and says that nobody listens
-                engine.after(2 * net.same(), () -> near.ended(Tracked.Ending.REFUSED));
+            if (!unreachable.contains(to)) { // the machine is there and says that nobody listens
+                engine.after(2 * net.same(), () -> callerLink.closedByNetwork(Tracked.Ending.REFUSED));
             }
-            return near;
+            return callerLink;
         }
-        if (isCut(from, at.site)) {
-            near.connectToNobody(at.site);
-            stuck.add(near);
-            return near;
+        if (isCut(from, at.process)) {
+            callerLink.connectUnreachable(at.process);
+            blocked.add(callerLink);
+            return callerLink;
         }
-        engine.after(delay(from, at.site), () -> arrived(near, from, to));
-        return near;
+        engine.after(delay(from, at.process), () -> connectArrived(callerLink, from, to));
+        return callerLink;
     }
 
     /** The call has come to the machine that it was for. */
-    private void arrived(VirtualLink near, Site from, InetSocketAddress to) {
+    private void connectArrived(VirtualLink callerLink, VirtualProcess from, InetSocketAddress to) {
         Listener at = listeners.get(to);
-        if (near.done()) {
+        if (callerLink.isClosed()) {
             return;
         }
         if (at == null) {
-            if (!silent.contains(to)) {
-                engine.after(net.same(), () -> near.ended(Tracked.Ending.REFUSED));
+            if (!unreachable.contains(to)) {
+                engine.after(net.same(), () -> callerLink.closedByNetwork(Tracked.Ending.REFUSED));
             }
             return;
         }
-        VirtualLink far = near.connectTo(at.site);
-        open.computeIfAbsent(at.site, s -> new LinkedHashSet<>()).add(far);
-        int balancer = number(from);
-        log.line("connect", from.name(), at.site.name(), near.number(), 0);
-        at.site.post(() -> far.accept(at.acceptor, balancer));
-        far.tellOpened();
+        VirtualLink acceptedLink = callerLink.connectTo(at.process);
+        open.computeIfAbsent(at.process, s -> new LinkedHashSet<>()).add(acceptedLink);
+        int balancer = balancerNumber(from);
+        log.append("connect", from.name(), at.process.name(), callerLink.number(), 0);
+        at.process.post(() -> acceptedLink.accept(at.acceptor, balancer));
+        acceptedLink.notifyOpened();
     }
 }
--- a/emulator/src/main/java/baymoor/emulator/virtual/VirtualPlatform.java
+++ b/emulator/src/main/java/baymoor/emulator/virtual/VirtualPlatform.java
@@ -1,7 +1,7 @@
 package baymoor.emulator.virtual;
 
 import baymoor.emulator.engine.Engine;
-import baymoor.emulator.engine.Site;
+import baymoor.emulator.engine.VirtualProcess;
 import baymoor.emulator.world.Acceptor;
 import baymoor.emulator.world.Platform;
 import baymoor.link.Dialer;
@@ -16,11 +16,11 @@
 final class VirtualPlatform implements Platform {
 
     private static final int PORT = 7000;
-    private static final int FIRST_PLACES = 16;
+    private static final int PLACE_GROUP = 16;
 
     private final Engine engine;
     private final VirtualNet net;
-    private final Map<String, Site> sites = new HashMap<>();
+    private final Map<String, VirtualProcess> processes = new HashMap<>();
     private final Map<Integer, InetSocketAddress> addresses = new HashMap<>();
     private final Map<InetSocketAddress, Integer> places = new HashMap<>();
 
@@ -29,19 +29,19 @@
         this.net = net;
     }
 
-    private Site site(String name, int zone) {
-        return sites.computeIfAbsent(
+    private VirtualProcess process(String name, int zone) {
+        return processes.computeIfAbsent(
                 name,
-                n -> new Site(engine, n, zone, n.startsWith("clients-"), 0, failure -> {
+                n -> new VirtualProcess(engine, n, zone, n.startsWith("clients-"), 0, failure -> {
                     throw new IllegalStateException("the emulator's own " + n + " failed", failure);
                 }));
     }
 
-    private InetSocketAddress numbered(int group, int number, int port) {
+    private InetSocketAddress loopbackAddress(int group, int number, int port) {
         return addresses.computeIfAbsent((group << 20 | number) << 1 | port - PORT, k -> {
             try {
-                byte[] figures = {127, (byte) (group + (number >> 16)), (byte) (number >> 8), (byte) number};
-                return new InetSocketAddress(InetAddress.getByAddress(figures), port);
+                byte[] octets = {127, (byte) (group + (number >> 16)), (byte) (number >> 8), (byte) number};
+                return new InetSocketAddress(InetAddress.getByAddress(octets), port);
             } catch (UnknownHostException e) {
                 throw new IllegalStateException("four bytes are an address", e);
             }
@@ -50,12 +50,12 @@
 
     @Override
     public Time time(String host, int zone) {
-        return site(host, zone);
+        return process(host, zone);
     }
 
     @Override
     public void listen(int place, String host, int zone, Acceptor acceptor) {
-        net.listen(address(place, 0), site(host, zone), acceptor);
+        net.listen(address(place, 0), process(host, zone), acceptor);
     }
 
     @Override
@@ -66,7 +66,7 @@
     @Override
     public void stopListening(int place, boolean silently) {
         if (silently) {
-            net.silence(address(place, 0));
+            net.makeUnreachable(address(place, 0));
         } else {
             net.stopListening(address(place, 0));
         }
@@ -74,7 +74,7 @@
 
     @Override
     public Dialer clients(int zone) {
-        return net.dialer(sites.values().stream()
+        return net.dialer(processes.values().stream()
                 .filter(s -> s.client() && s.zone() == zone)
                 .findFirst()
                 .orElseThrow());
@@ -82,7 +82,7 @@
 
     @Override
     public InetSocketAddress address(int place, int balancer) {
-        InetSocketAddress at = numbered(FIRST_PLACES, place, PORT);
+        InetSocketAddress at = loopbackAddress(PLACE_GROUP, place, PORT);
         places.putIfAbsent(at, place);
         return at;
     }
@@ -94,17 +94,17 @@
 
     @Override
     public InetSocketAddress balancer(int number) {
-        return numbered(1, number, PORT);
+        return loopbackAddress(1, number, PORT);
     }
 
     @Override
     public InetSocketAddress peer(int number, int seenBy) {
-        return numbered(1, number, PORT + 1);
+        return loopbackAddress(1, number, PORT + 1);
     }
 
     @Override
     public InetSocketAddress everyone() {
-        return numbered(1, (1 << 16) - 1, PORT + 1);
+        return loopbackAddress(1, (1 << 16) - 1, PORT + 1);
     }
 
     @Override
@@ -129,6 +129,6 @@
 
     @Override
     public void loseDatagrams(double share) {
-        net.loss(share);
+        net.extraDatagramLoss(share);
     }
 }
--- a/emulator/src/main/java/baymoor/emulator/virtual/VirtualRouter.java
+++ b/emulator/src/main/java/baymoor/emulator/virtual/VirtualRouter.java
@@ -19,7 +19,7 @@
         VirtualNet net = new VirtualNet(engine, scenario, streams, new EventLog(engine, null));
         RouterLoad run = new RouterLoad(scenario, new VirtualPlatform(engine, net), streams, load, engine::halt);
         run.begin();
-        while (!engine.halted() && engine.waiting() > 0) {
+        while (!engine.halted() && engine.queuedEvents() > 0) {
             engine.runUntil(engine.now() + STEP_MICROS);
         }
         return run;
--- a/emulator/src/main/java/baymoor/emulator/virtual/VirtualRun.java
+++ b/emulator/src/main/java/baymoor/emulator/virtual/VirtualRun.java
@@ -19,8 +19,8 @@
 /** Plays a scenario in virtual time, from its start to the last answer, under the eyes of the judge. */
 public final class VirtualRun {
 
-    private static final long LOOK_MICROS = 100_000;
-    private static final int MOST_KEPT = 100;
+    private static final long CHECK_INTERVAL_MICROS = 100_000;
+    private static final int MAX_REPORTED_VIOLATIONS = 100;
 
     /**
      * How to play.
@@ -88,20 +88,20 @@
 
     /** Plays a scenario in virtual time. */
     public static Result play(Scenario scenario, Options options) {
-        return play(scenario, options, Sabotage.NONE);
+        return play(scenario, options, FaultInjector.NONE);
     }
 
-    static Result play(Scenario scenario, Options options, Sabotage sabotage) {
-        long began = System.nanoTime();
+    static Result play(Scenario scenario, Options options, FaultInjector faults) {
+        long startedNanos = System.nanoTime();
         Engine engine = new Engine(options.grid(), options.shuffle());
         Streams streams = new Streams(options.seed());
         EventLog log = new EventLog(engine, options.log());
         List<Broken> broken = new ArrayList<>();
         Judge judge = new Judge(engine::now, scenario.figures(), 0, b -> {
-            if (broken.size() < MOST_KEPT) {
+            if (broken.size() < MAX_REPORTED_VIOLATIONS) {
                 broken.add(b);
             }
-            log.line("broken", b.rule().name(), b.request().isEmpty() ? "-" : b.request(), 0, 0);
+            log.append("broken", b.rule().name(), b.request().isEmpty() ? "-" : b.request(), 0, 0);
             if (!options.keepGoing()) {
                 engine.halt();
             }
@@ -115,19 +115,19 @@
                 streams,
                 judge,
                 tally,
-                (what, whom) -> log.line("act", what, whom.isEmpty() ? "-" : whom, 0, 0));
-        VirtualFleet fleet = new VirtualFleet(
-                engine, scenario, net, platform, world, judge, streams, log, world.clients(), sabotage);
-        net.tap(new AttemptTap(judge, to -> world.hostAt(platform.place(to)), net::number));
+                (action, target) -> log.append("act", action, target.isEmpty() ? "-" : target, 0, 0));
+        VirtualFleet fleet =
+                new VirtualFleet(engine, scenario, net, platform, world, judge, streams, log, world.clients(), faults);
+        net.observe(new AttemptObserver(judge, to -> world.hostAt(platform.place(to)), net::balancerNumber));
         world.open(fleet);
         fleet.startAll();
         world.begin();
         long start = engine.now();
         long invariants = Invariant.broken();
-        for (long at = start + LOOK_MICROS; !engine.halted(); at += LOOK_MICROS) {
+        for (long at = start + CHECK_INTERVAL_MICROS; !engine.halted(); at += CHECK_INTERVAL_MICROS) {
             engine.runUntil(at);
             judge.look();
-            fleet.look();
+            fleet.checkCounters();
             if (Invariant.broken() > invariants) {
                 invariants = Invariant.broken();
                 judge.invariant("balancers", "an invariant of the program broke");
@@ -147,8 +147,8 @@
                 tally,
                 broken,
                 judge.counts(),
-                engine.elapsed(),
-                engine.performed(),
-                System.nanoTime() - began);
+                engine.elapsedMicros(),
+                engine.executedEvents(),
+                System.nanoTime() - startedNanos);
     }
 }
--- a/emulator/src/test/java/baymoor/emulator/fabric/FabricTest.java
+++ b/emulator/src/test/java/baymoor/emulator/fabric/FabricTest.java
@@ -24,7 +24,7 @@
     private final ManualTime time = new ManualTime();
     private final Fabric fabric = fabric("");
     /** The real connection, as a driver would have it. */
-    private final RecordingLink real = new RecordingLink();
+    private final RecordingLink clientLink = new RecordingLink();
 
     private final Host host = new Host();
 
@@ -62,44 +62,44 @@
             closed++;
         }
 
-        void say(String text) {
+        void send(String text) {
             link.write(text.getBytes(StandardCharsets.US_ASCII));
         }
     }
 
     private LinkEvents connect() {
-        return fabric.between(real, BALANCER, HOST, host::accept);
+        return fabric.between(clientLink, BALANCER, HOST, host::accept);
     }
 
-    private static void says(LinkEvents balancer, String text) {
+    private static void sendToHost(LinkEvents balancer, String text) {
         balancer.received(text.getBytes(StandardCharsets.US_ASCII));
     }
 
     @Test
-    public void withoutFaultsAllPassesAndEndsOnce() {
+    public void forwardsBytesAndClosesOnceWithoutFaults() {
         LinkEvents balancer = connect();
-        says(balancer, "ask");
-        host.say("answer");
+        sendToHost(balancer, "ask");
+        host.send("answer");
         balancer.written();
         balancer.closed();
         assertEquals("ask", host.in.toString());
-        assertEquals("answer", real.out.toString());
+        assertEquals("answer", clientLink.out.toString());
         assertEquals(1, host.written);
         assertEquals(1, host.closed);
         assertEquals(new Fabric.Counts(0, 0, 0, 0, 0, 0), fabric.counts());
     }
 
     @Test
-    public void whatIsSaidAtACutIsLostAndTheConnectionResetAfterIt() {
+    public void dropsBytesDuringACutAndResetsTheConnectionAfterIt() {
         LinkEvents balancer = connect();
         fabric.cut(HOST, true);
-        says(balancer, "ask");
-        host.say("answer");
+        sendToHost(balancer, "ask");
+        host.send("answer");
         time.pass(5_000_000);
-        assertEquals("", host.in.toString() + real.out);
-        assertFalse("silent, not closed", real.closed || host.closed > 0);
+        assertEquals("", host.in.toString() + clientLink.out);
+        assertFalse("silent, not closed", clientLink.closed || host.closed > 0);
         fabric.cut(HOST, false);
-        assertTrue(real.closed);
+        assertTrue(clientLink.closed);
         balancer.closed();
         assertEquals(1, host.closed);
         assertEquals(9, fabric.counts().bytesHeld());
@@ -107,53 +107,53 @@
     }
 
     @Test
-    public void aConnectionOnWhichNothingWasSaidOutlivesACut() {
+    public void idleConnectionSurvivesACut() {
         LinkEvents balancer = connect();
         fabric.cut(BALANCER, true);
         fabric.cut(BALANCER, false);
-        says(balancer, "ask");
+        sendToHost(balancer, "ask");
         assertEquals("ask", host.in.toString());
-        assertFalse(real.closed);
+        assertFalse(clientLink.closed);
     }
 
     @Test
-    public void cutsOverlapAndHealWhenTheLastIsOver() {
+    public void overlappingCutsEndWithTheLastOne() {
         LinkEvents balancer = connect();
         fabric.cut(HOST, true);
         fabric.cut(BALANCER, true);
-        says(balancer, "ask");
+        sendToHost(balancer, "ask");
         fabric.cut(HOST, false);
-        assertFalse(real.closed);
+        assertFalse(clientLink.closed);
         fabric.cut(BALANCER, false);
-        assertTrue(real.closed);
+        assertTrue(clientLink.closed);
     }
 
     @Test
-    public void aCallAtACutNeverComesToTheHost() {
+    public void connectionOpenedDuringACutNeverReachesTheHost() {
         fabric.cut(HOST, true);
         LinkEvents balancer = connect();
-        says(balancer, "ask");
+        sendToHost(balancer, "ask");
         assertNull(host.link);
         fabric.cut(HOST, false);
-        assertTrue(real.closed);
+        assertTrue(clientLink.closed);
         balancer.closed();
         assertEquals("never heard of it", 0, host.closed);
     }
 
     @Test
-    public void oneWayTheHostHearsAndIsNotHeard() {
+    public void oneWayCutDropsOnlyThatDirection() {
         LinkEvents balancer = connect();
         fabric.cut(HOST, BALANCER, true);
-        says(balancer, "ask");
-        host.say("answer");
+        sendToHost(balancer, "ask");
+        host.send("answer");
         assertEquals("ask", host.in.toString());
-        assertEquals("", real.out.toString());
+        assertEquals("", clientLink.out.toString());
         fabric.cut(HOST, BALANCER, false);
-        assertTrue("an answer is missing", real.closed);
+        assertTrue("an answer is missing", clientLink.closed);
     }
 
     @Test
-    public void anEndAtACutIsHeardAfterIt() {
+    public void closeDuringACutIsReportedAfterIt() {
         LinkEvents balancer = connect();
         fabric.cut(HOST, true);
         balancer.closed();
@@ -163,45 +163,45 @@
     }
 
     @Test
-    public void aHostThatClosesAtACutIsDoneWithItAtOnceAndTheOtherSideAfterIt() {
+    public void hostClosingDuringACutIsNotifiedAtOnceAndTheOpenerAfterIt() {
         LinkEvents balancer = connect();
         fabric.cut(HOST, true);
         host.link.close();
         time.pass(1);
         assertEquals(1, host.closed);
-        assertFalse(real.closed);
+        assertFalse(clientLink.closed);
         fabric.cut(HOST, false);
-        assertTrue(real.closed);
+        assertTrue(clientLink.closed);
         balancer.closed();
         assertEquals(1, host.closed);
     }
 
-    private int arrivals(Fabric of, int count) {
+    private int countArrivals(Fabric target, int count) {
         int[] arrived = {0};
         for (int i = 0; i < count; i++) {
-            of.datagram(BALANCER, HOST, () -> arrived[0]++);
+            target.datagram(BALANCER, HOST, () -> arrived[0]++);
         }
         time.pass(1_000_000);
         return arrived[0];
     }
 
     @Test
-    public void datagramsAreLostCutAndDoubledAsIsSaid() {
-        assertEquals(100, arrivals(fabric("datagram_loss = \"0%\"\ndatagram_double = \"0%\""), 100));
+    public void datagramsAreDroppedAndDuplicatedAsConfigured() {
+        assertEquals(100, countArrivals(fabric("datagram_loss = \"0%\"\ndatagram_double = \"0%\""), 100));
         Fabric lossy = fabric("datagram_loss = \"0%\"\ndatagram_double = \"0%\"");
         lossy.lose(0.3);
-        int arrived = arrivals(lossy, 1000);
+        int arrived = countArrivals(lossy, 1000);
         assertTrue(arrived + " of 1000", arrived > 600 && arrived < 800);
         assertEquals(1000 - arrived, lossy.counts().datagramsLost());
         lossy.lose(0);
         lossy.cut(BALANCER, HOST, true);
-        assertEquals(0, arrivals(lossy, 50));
+        assertEquals(0, countArrivals(lossy, 50));
         assertEquals(50, lossy.counts().datagramsCut());
         lossy.cut(BALANCER, HOST, false);
         lossy.cut(HOST, BALANCER, true);
-        assertEquals("one way only", 50, arrivals(lossy, 50));
+        assertEquals("one way only", 50, countArrivals(lossy, 50));
         Fabric doubling = fabric("datagram_loss = \"0%\"\ndatagram_double = \"50%\"");
-        arrived = arrivals(doubling, 1000);
+        arrived = countArrivals(doubling, 1000);
         assertEquals(1000 + doubling.counts().datagramsDoubled(), arrived);
         assertTrue(arrived + " of 1000", arrived > 1400 && arrived < 1600);
     }
--- a/emulator/src/test/java/baymoor/emulator/virtual/CutWhileRoutersDrainTest.java
+++ b/emulator/src/test/java/baymoor/emulator/virtual/CutWhileRoutersDrainTest.java
@@ -10,7 +10,7 @@
 public class CutWhileRoutersDrainTest {
 
     @Test
-    public void whoIsCutOffIsHeldToADrainOnceItsWatchHasBeenSilentForLongEnough() throws Exception {
+    public void drainingRoutersDuringAZoneCutBreaksNoRule() throws Exception {
         VirtualRun.Result result = VirtualRun.play(ScenarioReader.parse("""
                 zones = ["a", "b"]
                 warm_up = "2s"
--- a/emulator/src/test/java/baymoor/emulator/virtual/FaultyBalancerTest.java
+++ b/emulator/src/test/java/baymoor/emulator/virtual/FaultyBalancerTest.java
@@ -21,7 +21,7 @@
 /** The judge in a whole world: a balancer made faulty in one way each, and the rule that it must be caught by. */
 public class FaultyBalancerTest {
 
-    private static final String SMALL = """
+    private static final String SMALL_SCENARIO = """
             zones = ["a"]
             warm_up = "1s"
             duration = "12s"
@@ -43,7 +43,7 @@
             impatient = "0%"
             """;
 
-    private static final String WRITES = SMALL + """
+    private static final String SCENARIO_WITH_WRITES = SMALL_SCENARIO + """
             [[classes]]
             name = "map-read"
             share = "60%"
@@ -64,26 +64,27 @@
             give_up = "5s"
             """;
 
-    private static Rule caught(String scenario, Sabotage sabotage) throws Exception {
-        Scenario read = ScenarioReader.parse(scenario, "faulty");
-        VirtualRun.Result result = VirtualRun.play(read, VirtualRun.Options.seed(1), sabotage);
+    private static Rule firstBrokenRule(String text, FaultInjector faults) throws Exception {
+        Scenario scenario = ScenarioReader.parse(text, "faulty");
+        VirtualRun.Result result = VirtualRun.play(scenario, VirtualRun.Options.seed(1), faults);
         assertFalse("nothing was caught", result.broken().isEmpty());
-        assertTrue("the run went on", result.virtual() < read.warmUpMicros() + read.durationMicros() + 10_000_000);
+        assertTrue(
+                "the run went on", result.virtual() < scenario.warmUpMicros() + scenario.durationMicros() + 10_000_000);
         Broken first = result.broken().get(0);
         return first.rule();
     }
 
     /** What is written to clients goes through a function, which may write otherwise by itself and give null. */
-    private static Sabotage answers(BiFunction<Link, byte[], byte[]> change) {
-        return new Sabotage() {
+    private static FaultInjector rewriteAnswers(BiFunction<Link, byte[], byte[]> change) {
+        return new FaultInjector() {
             @Override
-            public Link client(Time time, Link real) {
-                return new Through(real) {
+            public Link wrapClientLink(Time time, Link real) {
+                return new ForwardingLink(real) {
                     @Override
                     public void write(byte[] bytes) {
-                        byte[] instead = change.apply(real, bytes);
-                        if (instead != null) {
-                            real.write(instead);
+                        byte[] replacement = change.apply(real, bytes);
+                        if (replacement != null) {
+                            real.write(replacement);
                         }
                     }
                 };
@@ -96,20 +97,20 @@
     }
 
     /** After the real command has left, does something with it once more. */
-    private interface Again {
+    private interface Resend {
         void send(Time time, Dialer real, InetSocketAddress to, byte[] command);
     }
 
-    private static Sabotage commands(String with, Again again) {
-        return new Sabotage() {
+    private static FaultInjector resendMatching(String with, Resend resend) {
+        return new FaultInjector() {
             @Override
-            public Dialer dialer(Time time, Dialer dialer) {
-                return (to, events) -> new Through(dialer.dial(to, events)) {
+            public Dialer wrapDialer(Time time, Dialer dialer) {
+                return (to, events) -> new ForwardingLink(dialer.dial(to, events)) {
                     @Override
                     public void write(byte[] bytes) {
                         real.write(bytes);
                         if (new String(bytes, StandardCharsets.ISO_8859_1).contains(with)) {
-                            again.send(time, dialer, to, bytes);
+                            resend.send(time, dialer, to, bytes);
                         }
                     }
                 };
@@ -118,7 +119,7 @@
     }
 
     /** Sends bytes on a connection of its own. */
-    private static void once(Dialer dialer, InetSocketAddress to, byte[] bytes) {
+    private static void sendOnNewConnection(Dialer dialer, InetSocketAddress to, byte[] bytes) {
         Link[] link = new Link[1];
         link[0] = dialer.dial(to, new LinkEvents() {
             @Override
@@ -138,8 +139,8 @@
     }
 
     @Test
-    public void theGoodBalancerBreaksNothing() throws Exception {
-        for (String scenario : new String[] {SMALL, WRITES}) {
+    public void unmodifiedBalancerBreaksNoRule() throws Exception {
+        for (String scenario : new String[] {SMALL_SCENARIO, SCENARIO_WITH_WRITES}) {
             VirtualRun.Result result =
                     VirtualRun.play(ScenarioReader.parse(scenario, "good"), VirtualRun.Options.seed(1));
             assertEquals(result.broken().toString(), 0, result.broken().size());
@@ -148,29 +149,29 @@
     }
 
     @Test
-    public void twoAnswersForOne() throws Exception {
-        assertEquals(Rule.ONE_ANSWER, caught(SMALL, answers((link, bytes) -> {
+    public void duplicateAnswerIsDetected() throws Exception {
+        assertEquals(Rule.ONE_ANSWER, firstBrokenRule(SMALL_SCENARIO, rewriteAnswers((link, bytes) -> {
             link.write(bytes);
             return bytes;
         })));
     }
 
     @Test
-    public void aCloseInsteadOfAnAnswer() throws Exception {
-        assertEquals(Rule.ONE_ANSWER, caught(SMALL, answers((link, bytes) -> {
+    public void closeInsteadOfAnswerIsDetected() throws Exception {
+        assertEquals(Rule.ONE_ANSWER, firstBrokenRule(SMALL_SCENARIO, rewriteAnswers((link, bytes) -> {
             link.close();
             return null;
         })));
     }
 
     @Test
-    public void noAnswerAtAll() throws Exception {
-        assertEquals(Rule.IN_TIME, caught(SMALL, answers((link, bytes) -> null)));
+    public void missingAnswerIsDetected() throws Exception {
+        assertEquals(Rule.IN_TIME, firstBrokenRule(SMALL_SCENARIO, rewriteAnswers((link, bytes) -> null)));
     }
 
     @Test
-    public void aValueThatWasChangedOnItsWay() throws Exception {
-        assertEquals(Rule.TRUE_VALUE, caught(SMALL, answers((link, bytes) -> {
+    public void corruptedValueIsDetected() throws Exception {
+        assertEquals(Rule.TRUE_VALUE, firstBrokenRule(SMALL_SCENARIO, rewriteAnswers((link, bytes) -> {
             byte[] changed = bytes.clone();
             changed[changed.length - 3] ^= served(bytes) ? 1 : 0;
             return changed;
@@ -178,49 +179,54 @@
     }
 
     @Test
-    public void aBackOffForAPaidSearchThatHasRun() throws Exception {
+    public void refusalOfExecutedUnsafeRequestIsDetected() throws Exception {
         assertEquals(
                 Rule.HARMLESS_REFUSAL,
-                caught(
-                        WRITES,
-                        answers((link, bytes) ->
+                firstBrokenRule(
+                        SCENARIO_WITH_WRITES,
+                        rewriteAnswers((link, bytes) ->
                                 served(bytes) ? "-BUSY\r\n".getBytes(StandardCharsets.US_ASCII) : bytes)));
     }
 
     @Test
-    public void everyAttemptTwiceAtOnce() throws Exception {
+    public void concurrentDuplicateAttemptIsDetected() throws Exception {
         assertEquals(
                 Rule.ONE_RELAY_AT_A_TIME,
-                caught(SMALL, commands("OBJ.GET", (time, dialer, to, bytes) -> once(dialer, to, bytes))));
+                firstBrokenRule(
+                        SMALL_SCENARIO,
+                        resendMatching(
+                                "OBJ.GET", (time, dialer, to, bytes) -> sendOnNewConnection(dialer, to, bytes))));
     }
 
     @Test
-    public void aPaidSearchSentAgainWhenItIsOver() throws Exception {
+    public void resentUnsafeRequestIsDetected() throws Exception {
         assertEquals(
                 Rule.UNSAFE_ONCE,
-                caught(
-                        WRITES,
-                        commands(
+                firstBrokenRule(
+                        SCENARIO_WITH_WRITES,
+                        resendMatching(
                                 "c=search-order",
-                                (time, dialer, to, bytes) -> time.after(1_200_000, () -> once(dialer, to, bytes)))));
+                                (time, dialer, to, bytes) ->
+                                        time.after(1_200_000, () -> sendOnNewConnection(dialer, to, bytes)))));
     }
 
     @Test
-    public void aKeyedWriteSentAgainAfterItsWindow() throws Exception {
+    public void keyedWriteResentAfterItsWindowIsDetected() throws Exception {
         assertEquals(
                 Rule.KEYED_ONCE,
-                caught(
-                        WRITES,
-                        commands(
+                firstBrokenRule(
+                        SCENARIO_WITH_WRITES,
+                        resendMatching(
                                 "c=parcel-watch",
-                                (time, dialer, to, bytes) -> time.after(2_500_000, () -> once(dialer, to, bytes)))));
+                                (time, dialer, to, bytes) ->
+                                        time.after(2_500_000, () -> sendOnNewConnection(dialer, to, bytes)))));
     }
 
     /** What discovery says to the balancers goes through a replacement. */
-    private static Sabotage list(String pattern, String instead) {
-        return new Sabotage() {
+    private static FaultInjector rewriteDiscovery(String pattern, String replacement) {
+        return new FaultInjector() {
             @Override
-            public Dialer dialer(Time time, Dialer real) {
+            public Dialer wrapDialer(Time time, Dialer real) {
                 return (to, events) -> real.dial(to, new LinkEvents() {
                     @Override
                     public void opened() {
@@ -233,7 +239,7 @@
                         // Of the same length, since chunks state theirs.
                         events.received(
                                 text.contains("endpoints")
-                                        ? text.replaceAll(pattern, instead).getBytes(StandardCharsets.ISO_8859_1)
+                                        ? text.replaceAll(pattern, replacement).getBytes(StandardCharsets.ISO_8859_1)
                                         : bytes);
                     }
 
@@ -252,8 +258,8 @@
     }
 
     @Test
-    public void aListThatIsNotHeeded() throws Exception {
-        String drain = SMALL + """
+    public void ignoredDrainIsDetected() throws Exception {
+        String drainScenario = SMALL_SCENARIO + """
                 [discovery]
                 notice = "100ms"
                 [[script]]
@@ -261,10 +267,14 @@
                 do = "drain-router"
                 for = "8s"
                 """;
-        assertEquals(Rule.DRAINED, caught(drain, list("\"status\":\"terminating\"", "\"status\":\"in_service\" ")));
+        assertEquals(
+                Rule.DRAINED,
+                firstBrokenRule(
+                        drainScenario, rewriteDiscovery("\"status\":\"terminating\"", "\"status\":\"in_service\" ")));
     }
 
-    private static final String COLD = SMALL.replace("rate = \"40/s\"", "rate = \"90/s\"") + """
+    private static final String COLD_ROUTER_SCENARIO =
+            SMALL_SCENARIO.replace("rate = \"40/s\"", "rate = \"90/s\"") + """
             [rules]
             tip_multiple = 1.2
             tip = "1s"
@@ -280,48 +290,51 @@
             """;
 
     @Test
-    public void aColdRouterThatIsTakenForWarm() throws Exception {
+    public void overloadedColdRouterIsDetected() throws Exception {
         assertEquals(
                 Rule.COLD_ROUTER,
-                caught(
-                        COLD.replace(
+                firstBrokenRule(
+                        COLD_ROUTER_SCENARIO.replace(
                                 "pause = \"0ms\"",
                                 "pause = \"0ms\"\ncold_share = \"2%\"\n" + "cold = \"23s\"\nmiss = \"60ms\""),
-                        list("\"since_ms\":[0-9]{10}", "\"since_ms\":0         ")));
+                        rewriteDiscovery("\"since_ms\":[0-9]{10}", "\"since_ms\":0         ")));
     }
 
     @Test
-    public void anOriginThatIsAskedForAllThatColdRoutersMiss() throws Exception {
-        Sabotage storm = commands("GET /", (time, dialer, to, bytes) -> {
+    public void originOverloadFromCacheMissesIsDetected() throws Exception {
+        FaultInjector originStorm = resendMatching("GET /", (time, dialer, to, bytes) -> {
             for (int i = 0; i < 12; i++) {
-                once(dialer, to, bytes);
+                sendOnNewConnection(dialer, to, bytes);
             }
         });
-        Sabotage both = new Sabotage() {
+        FaultInjector coldRouterWithStorm = new FaultInjector() {
             @Override
-            public Dialer dialer(Time time, Dialer real) {
-                return list("\"since_ms\":[0-9]{10}", "\"since_ms\":0         ").dialer(time, storm.dialer(time, real));
+            public Dialer wrapDialer(Time time, Dialer real) {
+                return rewriteDiscovery("\"since_ms\":[0-9]{10}", "\"since_ms\":0         ")
+                        .wrapDialer(time, originStorm.wrapDialer(time, real));
             }
         };
         // Many keys, all kept where it is warm: nearly every read at a cold router is a miss.
-        Scenario read = ScenarioReader.parse(
-                COLD.replace("tip_multiple = 1.2", "tip_multiple = 1000")
+        Scenario scenario = ScenarioReader.parse(
+                COLD_ROUTER_SCENARIO
+                        .replace("tip_multiple = 1.2", "tip_multiple = 1000")
                         .replace("count = 300", "count = 20000\nexponent = 0.3\nsize = \"256B\"\nsize_sigma = 0")
                         .replace(
                                 "capacity = \"30/s\"",
                                 "capacity = \"20/s\"\nfall_multiple = 1.5\nfall = \"2s\"\nmost_falls = 50"),
                 "storm");
-        VirtualRun.Result result = VirtualRun.play(read, new VirtualRun.Options(1, null, true, at -> {}), both);
+        VirtualRun.Result result =
+                VirtualRun.play(scenario, new VirtualRun.Options(1, null, true, at -> {}), coldRouterWithStorm);
         assertTrue(result.counts().toString(), result.counts().containsKey(Rule.ORIGIN_SPARED));
     }
 
     @Test
-    public void attemptsThatBeginLongAfterTheirClientsHaveLeft() throws Exception {
-        String impatient = SMALL.replace("impatient = \"0%\"", "impatient = \"60%\"");
-        assertEquals(Rule.LEFT_ALONE, caught(impatient, new Sabotage() {
+    public void attemptsSentAfterTheClientLeftAreDetected() throws Exception {
+        String impatient = SMALL_SCENARIO.replace("impatient = \"0%\"", "impatient = \"60%\"");
+        assertEquals(Rule.LEFT_ALONE, firstBrokenRule(impatient, new FaultInjector() {
             @Override
-            public Dialer dialer(Time time, Dialer dialer) {
-                return (to, events) -> new Through(dialer.dial(to, events)) {
+            public Dialer wrapDialer(Time time, Dialer dialer) {
+                return (to, events) -> new ForwardingLink(dialer.dial(to, events)) {
                     @Override
                     public void write(byte[] bytes) {
                         time.after(700_000, () -> real.write(bytes));
@@ -332,11 +345,11 @@
     }
 
     @Test
-    public void aFailureWithinTheBalancer() throws Exception {
+    public void exceptionInTheBalancerIsDetected() throws Exception {
         int[] dials = {0};
-        assertEquals(Rule.INVARIANT, caught(SMALL, new Sabotage() {
+        assertEquals(Rule.INVARIANT, firstBrokenRule(SMALL_SCENARIO, new FaultInjector() {
             @Override
-            public Dialer dialer(Time time, Dialer real) {
+            public Dialer wrapDialer(Time time, Dialer real) {
                 return (to, events) -> {
                     if (++dials[0] > 20) {
                         throw new IllegalStateException("no more connections");
@@ -348,9 +361,11 @@
     }
 
     @Test
-    public void theReportOfABreakNamesSeedTimeAndLastEvents() throws Exception {
+    public void violationReportNamesSeedTimeAndLastEvents() throws Exception {
         VirtualRun.Result result = VirtualRun.play(
-                ScenarioReader.parse(SMALL, "faulty"), VirtualRun.Options.seed(7), answers((link, bytes) -> {
+                ScenarioReader.parse(SMALL_SCENARIO, "faulty"),
+                VirtualRun.Options.seed(7),
+                rewriteAnswers((link, bytes) -> {
                     link.close();
                     return null;
                 }));
--- a/emulator/src/test/java/baymoor/emulator/virtual/Through.java
+++ b/emulator/src/test/java/baymoor/emulator/virtual/ForwardingLink.java
@@ -3,10 +3,10 @@
 import baymoor.link.Link;
 
 /** Passes all on. */
-class Through implements Link {
+class ForwardingLink implements Link {
     final Link real;
 
-    Through(Link real) {
+    ForwardingLink(Link real) {
         this.real = real;
     }
 
--- a/emulator/src/test/java/baymoor/emulator/virtual/OverbookedDiscoveryTest.java
+++ b/emulator/src/test/java/baymoor/emulator/virtual/OverbookedDiscoveryTest.java
@@ -22,7 +22,7 @@
  */
 public class OverbookedDiscoveryTest {
 
-    private static final String SITE = """
+    private static final String SCENARIO = """
             warm_up = "2s"
             duration = "%ds"
             [balancers]
@@ -53,7 +53,7 @@
             """;
 
     /** Seven in ten are killed at once; routers drain while they are away. */
-    private static final String KILL = """
+    private static final String MASS_KILL = """
             [[script]]
             at = "3s"
             do = "restart-balancers"
@@ -64,7 +64,7 @@
             """;
 
     /** While it is down it looks as if too many called. */
-    private static final String LOOKS_OVERBOOKED = "starts_as_held = true\nbusy_when_down = true\nat_once = false\n";
+    private static final String BUSY_WHEN_DOWN = "starts_as_held = true\nbusy_when_down = true\nat_once = false\n";
 
     private static final String LONG_OUTAGE = """
             [[script]]
@@ -82,20 +82,21 @@
             """;
 
     /** When those that were killed listen again, and when discovery is back; a script's times begin after the warm-up. */
-    private static final double BACK_SECOND = 6.5;
+    private static final double RESTARTED_SECOND = 6.5;
 
-    private static final double RETURN_SECOND = 11;
+    private static final double DISCOVERY_BACK_SECOND = 11;
     private static final double FIRST_KILL_SECOND = 5;
     /** Calls for a watch that discovery works off in a second. */
-    private static final int MOST_SERVED = 22;
+    private static final int MAX_WATCH_CALLS_PER_SECOND = 22;
 
     /** How the calls of a run ended. */
-    private record Calls(List<String> broken, int callers, int most, List<Double> watchedAfter, double served) {
+    private record WatchCalls(
+            List<String> broken, int callers, int maxCallsPerSecond, List<Double> watchDelaysSeconds, double served) {
 
         /** Seconds until so many of a hundred callers had a watch; infinite if they never had. */
-        double until(int percent) {
-            int place = (callers * percent + 99) / 100 - 1;
-            return place < watchedAfter.size() ? watchedAfter.get(place) : Double.POSITIVE_INFINITY;
+        double secondsUntilWatched(int percent) {
+            int index = (callers * percent + 99) / 100 - 1;
+            return index < watchDelaysSeconds.size() ? watchDelaysSeconds.get(index) : Double.POSITIVE_INFINITY;
         }
 
         @Override
@@ -104,29 +105,29 @@
                     java.util.Locale.ROOT,
                     "%d callers, at most %d calls a second, %d watched: after %.1f s (50%%), %.1f s (99%%), %.1f s (100%%); served %.3f",
                     callers,
-                    most,
-                    watchedAfter.size(),
-                    until(50),
-                    until(99),
-                    until(100),
+                    maxCallsPerSecond,
+                    watchDelaysSeconds.size(),
+                    secondsUntilWatched(50),
+                    secondsUntilWatched(99),
+                    secondsUntilWatched(100),
                     served);
         }
     }
 
-    private static Calls play(
+    private static WatchCalls play(
             int balancers, String script, int drainMillis, double fromSecond, int untilSecond, int callers)
             throws Exception {
         ByteArrayOutputStream log = new ByteArrayOutputStream();
-        String site = String.format(SITE, untilSecond - 2, balancers, drainMillis);
+        String text = String.format(SCENARIO, untilSecond - 2, balancers, drainMillis);
         if (script.equals(LONG_OUTAGE)) {
-            site = site.replace("at_once = true\n", "").replace("starts_as_held = true\n", LOOKS_OVERBOOKED);
+            text = text.replace("at_once = true\n", "").replace("starts_as_held = true\n", BUSY_WHEN_DOWN);
         }
         VirtualRun.Result result = VirtualRun.play(
-                ScenarioReader.parse(site + script, "overbooked"), new VirtualRun.Options(11, log, true, micros -> {}));
+                ScenarioReader.parse(text + script, "overbooked"), new VirtualRun.Options(11, log, true, micros -> {}));
         Map<Long, Integer> calls = new HashMap<>();
         Set<String> watched = new HashSet<>();
         Set<String> restarted = new HashSet<>();
-        List<Double> after = new ArrayList<>();
+        List<Double> delays = new ArrayList<>();
         for (String line : log.toString(StandardCharsets.UTF_8).split("\n")) {
             String[] fields = line.split(" ");
             double second = Long.parseLong(fields[0]) / 1e6;
@@ -140,80 +141,93 @@
             if (fields[2].equals("list-watched")
                     && (restarted.isEmpty() || restarted.contains(fields[3]))
                     && watched.add(fields[3])) {
-                after.add(second - fromSecond);
+                delays.add(second - fromSecond);
             }
         }
-        Collections.sort(after);
-        Calls seen = new Calls(
+        Collections.sort(delays);
+        WatchCalls summary = new WatchCalls(
                 result.broken().stream().map(b -> b.rule() + " " + b.what()).toList(),
                 callers,
                 calls.values().stream().mapToInt(c -> c).max().orElse(0),
-                after,
+                delays,
                 result.tally().inTimeShare());
         System.out.println("overbooked discovery, " + balancers + " balancers, "
-                + (script.equals(KILL) ? "mass kill" : script.equals(OUTAGE) ? "outage" : "long outage") + ": " + seen
+                + (script.equals(MASS_KILL) ? "mass kill" : script.equals(OUTAGE) ? "outage" : "long outage") + ": "
+                + summary
                 + ", " + result.events() + " events, "
                 + "rules broken " + result.counts() + ", "
                 + result.wallNanos() / 1_000_000 + " ms");
-        return seen;
+        return summary;
     }
 
-    private static Calls kill(int balancers) throws Exception {
-        return play(balancers, KILL, 3_200, BACK_SECOND, 20, balancers * 7 / 10);
+    private static WatchCalls kill(int balancers) throws Exception {
+        return play(balancers, MASS_KILL, 3_200, RESTARTED_SECOND, 20, balancers * 7 / 10);
     }
 
     /** Longer than a change may go unheard, so that a balancer must know for how long discovery could not be reached. */
-    private static Calls longOutage(int balancers) throws Exception {
-        return play(balancers, LONG_OUTAGE, 5_000, RETURN_SECOND + 14, 40, balancers);
+    private static WatchCalls longOutage(int balancers) throws Exception {
+        return play(balancers, LONG_OUTAGE, 5_000, DISCOVERY_BACK_SECOND + 14, 40, balancers);
     }
 
-    private static Calls outage(int balancers) throws Exception {
-        return play(balancers, OUTAGE, 5_000, RETURN_SECOND, 26, balancers);
+    private static WatchCalls outage(int balancers) throws Exception {
+        return play(balancers, OUTAGE, 5_000, DISCOVERY_BACK_SECOND, 26, balancers);
     }
 
     @Test
-    public void aMassKillOfTwenty() throws Exception {
-        Calls calls = kill(20);
+    public void twentyBalancersRegainTheirWatchAfterAMassKill() throws Exception {
+        WatchCalls calls = kill(20);
         assertEquals(List.of(), calls.broken());
-        assertTrue(calls.toString(), calls.until(100) < 3 && calls.most() <= MOST_SERVED);
+        assertTrue(
+                calls.toString(),
+                calls.secondsUntilWatched(100) < 3 && calls.maxCallsPerSecond() <= MAX_WATCH_CALLS_PER_SECOND);
     }
 
     @Test
-    public void aMassKillOfAHundred() throws Exception {
-        Calls calls = kill(100);
+    public void hundredBalancersRegainTheirWatchAfterAMassKill() throws Exception {
+        WatchCalls calls = kill(100);
         assertEquals(List.of(), calls.broken());
-        assertTrue(calls.toString(), calls.until(50) < 4 && calls.until(99) < 8 && calls.most() <= 2 * MOST_SERVED);
+        assertTrue(
+                calls.toString(),
+                calls.secondsUntilWatched(50) < 4
+                        && calls.secondsUntilWatched(99) < 8
+                        && calls.maxCallsPerSecond() <= 2 * MAX_WATCH_CALLS_PER_SECOND);
     }
 
     @Test
-    public void anOutageForTwenty() throws Exception {
-        Calls calls = outage(20);
+    public void twentyBalancersRegainTheirWatchAfterAnOutage() throws Exception {
+        WatchCalls calls = outage(20);
         assertEquals(List.of(), calls.broken());
-        assertTrue(calls.toString(), calls.until(100) < 3 && calls.most() <= MOST_SERVED);
+        assertTrue(
+                calls.toString(),
+                calls.secondsUntilWatched(100) < 3 && calls.maxCallsPerSecond() <= MAX_WATCH_CALLS_PER_SECOND);
     }
 
     @Test
-    public void anOutageForAHundred() throws Exception {
-        Calls calls = outage(100);
+    public void hundredBalancersRegainTheirWatchAfterAnOutage() throws Exception {
+        WatchCalls calls = outage(100);
         assertEquals(List.of(), calls.broken());
-        assertTrue(calls.toString(), calls.until(50) < 4 && calls.until(99) < 8 && calls.most() <= 2 * MOST_SERVED);
+        assertTrue(
+                calls.toString(),
+                calls.secondsUntilWatched(50) < 4
+                        && calls.secondsUntilWatched(99) < 8
+                        && calls.maxCallsPerSecond() <= 2 * MAX_WATCH_CALLS_PER_SECOND);
     }
 
     /** All that is served meanwhile is served on a list that nobody can have had anew. */
     @Test
-    public void aLongOutageThatLooksLikeTooManyCallsCostsNoService() throws Exception {
+    public void longOutageReportedAsBusyCostsNoService() throws Exception {
         for (int balancers : new int[] {5, 20, 100}) {
-            Calls calls = longOutage(balancers);
+            WatchCalls calls = longOutage(balancers);
             assertEquals(List.of(), calls.broken());
             assertTrue(calls.toString(), calls.served() > 0.9);
             // The wait of a call made just before the return, the decisions' pause, the window, and the answer.
-            assertTrue(calls.toString(), calls.until(100) < 2 + 2 + 0.08 * balancers + 1);
+            assertTrue(calls.toString(), calls.secondsUntilWatched(100) < 2 + 2 + 0.08 * balancers + 1);
         }
     }
 
     /** Not a part of every build: {@code mvn -pl emulator -am test -Dtest=OverbookedDiscoveryTest -Dbaymoor.balancers=640}. */
     @Test
-    public void asManyAsAreAskedFor() throws Exception {
+    public void configuredNumberOfBalancers() throws Exception {
         int balancers = Integer.getInteger("baymoor.balancers", 0);
         if (balancers > 0) {
             kill(balancers);
--- a/emulator/src/test/java/baymoor/emulator/virtual/PushedListsTest.java
+++ b/emulator/src/test/java/baymoor/emulator/virtual/PushedListsTest.java
@@ -15,7 +15,7 @@
 /** A site whose lists are pushed to an agent beside each balancer. */
 public class PushedListsTest {
 
-    private static final String SMALL = """
+    private static final String SCENARIO = """
             zones = ["a", "b"]
             warm_up = "1s"
             duration = "16s"
@@ -43,9 +43,9 @@
             for = "9s"
             """;
 
-    private static VirtualRun.Result play(String text, Sabotage sabotage) throws Exception {
+    private static VirtualRun.Result play(String text, FaultInjector faults) throws Exception {
         Scenario scenario = ScenarioReader.parse(text, "pushed");
-        return VirtualRun.play(scenario, VirtualRun.Options.seed(3), sabotage);
+        return VirtualRun.play(scenario, VirtualRun.Options.seed(3), faults);
     }
 
     private static List<Rule> broken(VirtualRun.Result result) {
@@ -53,12 +53,12 @@
     }
 
     /** What a balancer says to its agent never arrives. */
-    private static Sabotage deaf() {
-        return new Sabotage() {
+    private static FaultInjector dropAgentRequests() {
+        return new FaultInjector() {
             @Override
-            public Dialer dialer(Time time, Dialer real) {
+            public Dialer wrapDialer(Time time, Dialer real) {
                 return (to, events) -> {
-                    return new Through(real.dial(to, events)) {
+                    return new ForwardingLink(real.dial(to, events)) {
                         @Override
                         public void write(byte[] bytes) {
                             if (!new String(bytes, StandardCharsets.ISO_8859_1).startsWith("GET /v1/servers")) {
@@ -72,29 +72,29 @@
     }
 
     @Test
-    public void aBalancerThatDoesNotListenToItsAgentSendsToWhoDrains() throws Exception {
-        assertEquals(List.of(), broken(play(SMALL, Sabotage.NONE)));
-        assertEquals(Rule.DRAINED, broken(play(SMALL, deaf())).get(0));
+    public void droppedAgentRequestsBreakTheDrainRule() throws Exception {
+        assertEquals(List.of(), broken(play(SCENARIO, FaultInjector.NONE)));
+        assertEquals(Rule.DRAINED, broken(play(SCENARIO, dropAgentRequests())).get(0));
     }
 
     @Test
-    public void whatAnAgentHearsOnceDiscoveryIsBackIsKeptToFromThenOn() throws Exception {
-        String down = "[[script]]\nat = \"3s\"\ndo = \"discovery-down\"\nfor = \"7s\"\n";
-        VirtualRun.Result result = play(SMALL + down, Sabotage.NONE);
+    public void agentCatchesUpAfterADiscoveryOutage() throws Exception {
+        String outage = "[[script]]\nat = \"3s\"\ndo = \"discovery-down\"\nfor = \"7s\"\n";
+        VirtualRun.Result result = play(SCENARIO + outage, FaultInjector.NONE);
         assertEquals(List.of(), broken(result));
         assertTrue(result.tally().inTime() > result.tally().asked() / 2);
     }
 
     @Test
-    public void anAgentInAZoneThatIsCutOffTellsNothingAndCatchesUp() throws Exception {
-        String cut = "[[script]]\nat = \"3s\"\ndo = \"cut\"\nzone = \"b\"\nfor = \"5s\"\n";
-        assertEquals(List.of(), broken(play(SMALL + cut, Sabotage.NONE)));
+    public void agentCatchesUpAfterAZoneCut() throws Exception {
+        String zoneCut = "[[script]]\nat = \"3s\"\ndo = \"cut\"\nzone = \"b\"\nfor = \"5s\"\n";
+        assertEquals(List.of(), broken(play(SCENARIO + zoneCut, FaultInjector.NONE)));
     }
 
     @Test
-    public void balancersThatRestartMeanwhileGoByWhatTheirAgentsHold() throws Exception {
+    public void restartedBalancersUseTheListHeldByTheirAgents() throws Exception {
         String restarts = "[[script]]\nat = \"4500ms\"\ndo = \"restart-balancers\"\nwithin = \"3s\"\n"
                 + "[[script]]\nat = \"9s\"\ndo = \"kill-balancer\"\ncount = 2\nfor = \"1s\"\n";
-        assertEquals(List.of(), broken(play(SMALL + restarts, Sabotage.NONE)));
+        assertEquals(List.of(), broken(play(SCENARIO + restarts, FaultInjector.NONE)));
     }
 }
--- a/emulator/src/test/java/baymoor/emulator/virtual/ReplayTest.java
+++ b/emulator/src/test/java/baymoor/emulator/virtual/ReplayTest.java
@@ -38,52 +38,52 @@
     }
 
     @Test
-    public void everyExampleKeepsTheRulesAndReplaysAlike() throws Exception {
-        Map<String, String> wrong = new ConcurrentHashMap<>();
+    public void examplesBreakNoRuleAndReplayIdentically() throws Exception {
+        Map<String, String> failures = new ConcurrentHashMap<>();
         EXAMPLES.parallelStream().forEach(name -> {
             try {
                 Scenario scenario = example(name);
                 VirtualRun.Result first = VirtualRun.play(scenario, VirtualRun.Options.seed(scenario.seed()));
                 VirtualRun.Result second = VirtualRun.play(scenario, VirtualRun.Options.seed(scenario.seed()));
                 if (!first.kept()) {
-                    wrong.put(name, first.broken().get(0).text());
+                    failures.put(name, first.broken().get(0).text());
                 } else if (!first.fingerprint().equals(second.fingerprint())) {
-                    wrong.put(name, "two event logs for one seed");
+                    failures.put(name, "two event logs for one seed");
                 } else if (first.tally().inTime() < first.tally().asked() / 2) {
-                    wrong.put(
+                    failures.put(
                             name,
                             "only " + first.tally().inTime() + " of "
                                     + first.tally().asked() + " in time");
                 }
             } catch (Exception e) {
-                wrong.put(name, e.toString());
+                failures.put(name, e.toString());
             }
         });
-        assertEquals(Map.of(), wrong);
+        assertEquals(Map.of(), failures);
     }
 
-    private static String log(String text, long seed) throws Exception {
+    private static String eventLog(String text, long seed) throws Exception {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         VirtualRun.play(ScenarioReader.parse(text, "replay"), new VirtualRun.Options(seed, out, true, at -> {}));
         return out.toString(StandardCharsets.UTF_8);
     }
 
     @Test
-    public void anotherSeedGivesAnotherRunAndTheSameOneTheSameBytes() throws Exception {
+    public void eventLogDependsOnTheSeedOnly() throws Exception {
         String text = "warm_up = \"0s\"\nduration = \"2s\"";
-        assertEquals(log(text, 1), log(text, 1));
-        assertNotEquals(log(text, 1), log(text, 2));
+        assertEquals(eventLog(text, 1), eventLog(text, 1));
+        assertNotEquals(eventLog(text, 1), eventLog(text, 2));
     }
 
     @Test
-    public void anotherRouterChangesNoArrival() throws Exception {
+    public void addingARouterDoesNotChangeClientArrivals() throws Exception {
         String[] kinds = {
             "[[routers]]\nkind = \"two-core\"\ncount = 6\n", "[[routers]]\nkind = \"two-core\"\ncount = 7\n"
         };
         List<List<String>> connects = Arrays.stream(kinds)
                 .map(kind -> {
                     try {
-                        return log(
+                        return eventLog(
                                         "warm_up = \"0s\"\nduration = \"1s\"\n[traffic]\nrate = \"40/s\"\nretry = \"0%\"\n"
                                                 + kind,
                                         1)
@@ -102,7 +102,7 @@
     }
 
     @Test
-    public void aHostThatCameBackWhileABalancerRestartedMayBeSentTo() throws Exception {
+    public void requestsToAHostThatReturnedDuringABalancerRestartAreAllowed() throws Exception {
         // As in the demo: all balancers are down when the list shows the drained routers again.
         StringBuilder text = new StringBuilder(
                 "warm_up = \"0s\"\nduration = \"9s\"\n[traffic]\nrate = \"60/s\"\n"
--- a/emulator/src/test/java/baymoor/emulator/virtual/ShuffledTest.java
+++ b/emulator/src/test/java/baymoor/emulator/virtual/ShuffledTest.java
@@ -21,10 +21,10 @@
  */
 public class ShuffledTest {
 
-    private static final long GRID = 4_000;
-    private static final int DRAWS = 60;
+    private static final long GRID_MICROS = 4_000;
+    private static final int SEEDS = 60;
 
-    private static final String CROSSINGS = """
+    private static final String SCENARIO = """
             zones = ["a", "b"]
             warm_up = "1s"
             duration = "7s"
@@ -113,27 +113,27 @@
             """;
 
     /** Each third connection of a balancer's comes up 150 to 230 ms late, or is given up before. */
-    private static final class Late implements Sabotage {
-        private final Random chance;
+    private static final class DelayedDialer implements FaultInjector {
+        private final Random random;
 
-        Late(long seed) {
-            chance = new Random(seed);
+        DelayedDialer(long seed) {
+            random = new Random(seed);
         }
 
         @Override
-        public Dialer dialer(Time time, Dialer real) {
+        public Dialer wrapDialer(Time time, Dialer real) {
             return (to, events) -> {
-                if (chance.nextInt(3) > 0) {
+                if (random.nextInt(3) > 0) {
                     return real.dial(to, events);
                 }
                 Link[] link = new Link[1];
                 boolean[] closed = new boolean[1];
-                time.after(150_000 + chance.nextInt(80) * 1_000, () -> {
+                time.after(150_000 + random.nextInt(80) * 1_000, () -> {
                     if (!closed[0]) {
                         link[0] = real.dial(to, events);
                     }
                 });
-                return new Through(null) {
+                return new ForwardingLink(null) {
                     @Override
                     public void write(byte[] bytes) {
                         link[0].write(bytes);
@@ -173,42 +173,44 @@
         }
     }
 
-    private static VirtualRun.Result play(String text, long seed, long order) throws Exception {
+    private static VirtualRun.Result play(String text, long seed, long shuffleSeed) throws Exception {
         Scenario scenario = ScenarioReader.parse(text, "crossings");
         return VirtualRun.play(
-                scenario, new VirtualRun.Options(seed, null, false, at -> {}, GRID, order), new Late(seed));
+                scenario,
+                new VirtualRun.Options(seed, null, false, at -> {}, GRID_MICROS, shuffleSeed),
+                new DelayedDialer(seed));
     }
 
-    private static String pushed() {
-        return CROSSINGS.replace("[discovery]", "[discovery]\npushed = true");
+    private static String pushedScenario() {
+        return SCENARIO.replace("[discovery]", "[discovery]\npushed = true");
     }
 
     @Test
-    public void whateverComesFirstOfWhatIsDueAtOnceTheRulesHold() {
-        Map<String, String> wrong = new ConcurrentSkipListMap<>();
-        LongStream.rangeClosed(1, DRAWS).parallel().forEach(seed -> {
+    public void rulesHoldForEveryOrderOfSimultaneousEvents() {
+        Map<String, String> failures = new ConcurrentSkipListMap<>();
+        LongStream.rangeClosed(1, SEEDS).parallel().forEach(seed -> {
             try {
-                VirtualRun.Result result = play(seed % 2 == 0 ? CROSSINGS : pushed(), seed, seed);
+                VirtualRun.Result result = play(seed % 2 == 0 ? SCENARIO : pushedScenario(), seed, seed);
                 if (!result.kept()) {
-                    wrong.put("seed " + seed, result.broken().get(0).text());
+                    failures.put("seed " + seed, result.broken().get(0).text());
                 } else if (result.tally().inTime() < result.tally().asked() / 4) {
-                    wrong.put(
+                    failures.put(
                             "seed " + seed,
                             "only " + result.tally().inTime() + " of "
                                     + result.tally().asked() + " in time");
                 }
             } catch (Exception | AssertionError e) {
-                wrong.put("seed " + seed, e.toString());
+                failures.put("seed " + seed, e.toString());
             }
         });
-        assertEquals(Map.of(), wrong);
+        assertEquals(Map.of(), failures);
     }
 
     @Test
-    public void oneSeedGivesOneOrderAndAnotherAnother() throws Exception {
-        String first = play(CROSSINGS, 1, 1).fingerprint();
-        assertEquals(first, play(CROSSINGS, 1, 1).fingerprint());
+    public void orderOfSimultaneousEventsDependsOnTheSeed() throws Exception {
+        String first = play(SCENARIO, 1, 1).fingerprint();
+        assertEquals(first, play(SCENARIO, 1, 1).fingerprint());
         assertNotEquals(
-                "the same world in another order", first, play(CROSSINGS, 1, 2).fingerprint());
+                "the same world in another order", first, play(SCENARIO, 1, 2).fingerprint());
     }
 }
