--- a/emulator/src/main/java/baymoor/emulator/chance/Streams.java
+++ b/emulator/src/main/java/baymoor/emulator/chance/Streams.java
@@ -8,8 +8,9 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * One seed split into a stream of random numbers for each actor, by the actor's name: another actor, or one that draws
- * more, changes nothing for the rest. The generator is XoRoShiRo128++ (Blackman and Vigna, 2018).
+ * Derives an independent random number generator for each named actor from a single seed, so that adding an actor, or
+ * more draws by one of them, does not change the numbers that the others get. The generator is XoRoShiRo128++ (Blackman
+ * and Vigna, 2018).
  */
 public final class Streams {
 
@@ -21,7 +22,7 @@
         this.seed = seed;
     }
 
-    /** A stream of its own for a name; the same name gives the same stream from its start. */
+    /** Returns a new generator for a name; the same seed and name always give the same sequence. */
     public UniformRandomProvider of(String name) {
         try {
             MessageDigest digest = MessageDigest.getInstance("SHA-256");
@@ -33,7 +34,7 @@
             }
             return RandomSource.XO_RO_SHI_RO_128_PP.create(state);
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java has SHA-256", e);
+            throw new IllegalStateException("SHA-256 is not available", e);
         }
     }
 }
--- a/emulator/src/main/java/baymoor/emulator/engine/Engine.java
+++ b/emulator/src/main/java/baymoor/emulator/engine/Engine.java
@@ -3,18 +3,21 @@
 import java.util.PriorityQueue;
 
 /**
- * A discrete-event engine: virtual time in microseconds, moved on from event to event. Of two events at the same
- * microsecond the one that was scheduled first comes first; what a {@link VirtualProcess} does at once comes before both.
+ * A discrete-event simulation engine whose clock counts virtual microseconds. Events due at the same microsecond run in
+ * the order in which they were scheduled; the immediate tasks of a {@link VirtualProcess} run before both.
  *
- * <p>With a grid, events fall due together at its points, and those that are due at once come in an order drawn from a seed: so
- * that what hardly ever crosses in the world crosses all the time. Events of one course, as of one connection, keep their order.
+ * <p>With a grid, due times are rounded up to its multiples, and events due at the same time run in a pseudo-random order
+ * that depends on the seed. This exercises interleavings that are rare in production. Events with the same ordering key,
+ * such as those of one direction of a connection, keep their order.
+ *
+ * <p>Not thread-safe: one thread runs the engine and everything scheduled on it.
  */
 public final class Engine {
 
     private static final long NO_ORDERING_KEY = 0;
     private static final long GOLDEN_GAMMA = 0x9e3779b97f4a7c15L;
 
-    /** High enough that starts of hosts long before this run's are above 0. */
+    /** Virtual time at which a run starts; hosts that started long before it still have positive start times. */
     public static final long START_MICROS = 1_000_000_000_000L;
 
     private final PriorityQueue<Event> events = new PriorityQueue<>(1024);
@@ -30,15 +33,17 @@
     }
 
     /**
-     * @param gridMicros at whose multiples events fall due, 1 for none
-     * @param shuffle    seed of the order of events that are due at once, 0 for that in which they were scheduled
+     * Creates an engine.
+     *
+     * @param gridMicros events are due at multiples of this, 1 for no grid
+     * @param shuffle seed of the order of events due at the same time, 0 for the order in which they were scheduled
      */
     public Engine(long gridMicros, long shuffle) {
         this.gridMicros = gridMicros;
         this.shuffle = shuffle;
     }
 
-    /** One thing to be done at a time. */
+    /** A scheduled task. */
     public static final class Event implements Comparable<Event> {
         private final long dueMicros;
         private final long tieBreak;
@@ -52,7 +57,7 @@
             this.task = task;
         }
 
-        /** It stays in the queue until its time, but does nothing then. */
+        /** Cancels the event: it stays in the queue until it is due and then does nothing. */
         public void cancel() {
             task = null;
         }
@@ -65,38 +70,42 @@
         }
     }
 
-    /** The virtual time in microseconds. */
+    /** Returns the virtual time in microseconds. */
     public long now() {
         return now;
     }
 
-    /** Since the start of the run. */
+    /** Returns the virtual microseconds since the start of the run. */
     public long elapsedMicros() {
         return now - START_MICROS;
     }
 
-    /** Events performed so far, without the cancelled ones. */
+    /** Returns the number of events executed so far, without cancelled ones. */
     public long executedEvents() {
         return executedEvents;
     }
 
-    /** Events that wait, with the cancelled ones. */
+    /** Returns the number of queued events, including cancelled ones. */
     public int queuedEvents() {
         return events.size();
     }
 
-    /** Does something at a time; a time that has passed means now, after what is scheduled for now already. */
+    /** Schedules a task; a time in the past means now, after the events already due now. */
     public Event schedule(long micros, Runnable task) {
         return schedule(micros, NO_ORDERING_KEY, task);
     }
 
-    /** @param orderingKey whose events keep their order among themselves, or 0 */
+    /**
+     * Schedules a task with an ordering key.
+     *
+     * @param orderingKey events with the same key keep their order; 0 for none
+     */
     public Event schedule(long micros, long orderingKey, Runnable task) {
         long due = Math.max(now, micros);
         return enqueue(due == now ? now : (due + gridMicros - 1) / gridMicros * gridMicros, orderingKey, task);
     }
 
-    /** At this very time, on no grid. */
+    /** Schedules a task at an exact time, without rounding up to the grid. */
     public Event scheduleUnaligned(long micros, Runnable task) {
         return enqueue(Math.max(now, micros), NO_ORDERING_KEY, task);
     }
@@ -123,22 +132,22 @@
         return z ^ z >>> 31;
     }
 
-    /** Does something after a delay. */
+    /** Schedules a task after a delay; a negative delay counts as 0. */
     public Event after(long micros, Runnable task) {
         return schedule(now + Math.max(0, micros), task);
     }
 
-    /** Ends {@link #runUntil} after the present event. */
+    /** Makes {@link #runUntil} return after the current event. */
     public void halt() {
         halted = true;
     }
 
-    /** Whether {@link #halt} has been called. */
+    /** Returns whether {@link #halt} has been called. */
     public boolean halted() {
         return halted;
     }
 
-    /** Performs all that falls due until a time, inclusive, unless halted; then the clock shows that time. */
+    /** Executes all events due up to a time, inclusive, and advances the clock to it, unless halted before. */
     public void runUntil(long micros) {
         while (!halted) {
             Event next = events.peek();
--- a/emulator/src/main/java/baymoor/emulator/engine/VirtualProcess.java
+++ b/emulator/src/main/java/baymoor/emulator/engine/VirtualProcess.java
@@ -5,9 +5,10 @@
 import java.util.function.Consumer;
 
 /**
- * A process in virtual time: takes one event after another, each for a stated time of its processor. What comes in
- * while it is busy waits in order, as it does before a real process. When the process dies, all that waits for it, and
- * every timer it set, is void; it may be born again.
+ * A simulated single-threaded process: it executes one event at a time, each for a fixed processor time, and queues events
+ * that arrive while it is busy. Termination drops all queued events and pending timers; the process can then be restarted.
+ *
+ * <p>Not thread-safe: called on the thread that runs the {@link Engine}.
  */
 public final class VirtualProcess implements Time {
 
@@ -26,13 +27,15 @@
     private long busyUntil;
     private long came;
 
-    /** What waits for the process, and since when. */
+    /** A queued task and the virtual time at which it was posted. */
     private record PostedTask(long postedMicros, Runnable task) {}
 
     /**
-     * @param client     whether it stands outside the zones' networks, as clients do
-     * @param costMicros processor time for each event
-     * @param failureHandler     hears what a task threw, which ends nothing but the task
+     * Creates a running process.
+     *
+     * @param client whether it is outside the networks of the zones, as clients are
+     * @param costMicros processor time of each event
+     * @param failureHandler gets what a task threw; later tasks still run
      */
     public VirtualProcess(
             Engine engine, String name, int zone, boolean client, long costMicros, Consumer<Throwable> failureHandler) {
@@ -44,27 +47,27 @@
         this.failureHandler = failureHandler;
     }
 
-    /** Its name in the event log. */
+    /** Returns the name used in the event log. */
     public String name() {
         return name;
     }
 
-    /** The number of its zone. */
+    /** Returns the index of its zone. */
     public int zone() {
         return zone;
     }
 
-    /** Whether it stands outside the networks of the zones. */
+    /** Returns whether it is outside the networks of the zones. */
     public boolean client() {
         return client;
     }
 
-    /** Whether its process runs. */
+    /** Returns whether it is running. */
     public boolean alive() {
         return alive;
     }
 
-    /** The process ends at once. */
+    /** Terminates the process at once and drops its queued events and timers. */
     public void terminate() {
         alive = false;
         incarnation++;
@@ -74,12 +77,12 @@
         busyUntil = 0;
     }
 
-    /** A new process begins in its place, which knows nothing. */
+    /** Starts a new incarnation of a terminated process. */
     public void restart() {
         alive = true;
     }
 
-    /** The process does nothing for a while; what comes in waits. */
+    /** Suspends the process for a duration; events that arrive meanwhile are queued. */
     public void stall(long micros) {
         busyUntil = Math.max(busyUntil, engine.now()) + micros;
     }
@@ -94,7 +97,7 @@
         return came;
     }
 
-    /** Hands an event to the process as it is now; dropped if that process is gone by the time it is taken. */
+    /** Posts an event to the current incarnation; dropped if that has terminated before the event is executed. */
     public void post(Runnable task) {
         if (!alive) {
             return;
--- a/emulator/src/main/java/baymoor/emulator/fabric/Fabric.java
+++ b/emulator/src/main/java/baymoor/emulator/fabric/Fabric.java
@@ -13,21 +13,21 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * What lies between the processes of a rehearsal: which zones hear each other, which datagrams get lost, and what that
- * came to. It is fed bytes and time and knows no socket. As in virtual time nothing passes and nothing is told between
- * zones that are cut off; once a cut is over, connections on which something was stuck are reset, the others go on.
+ * Injects network faults between the processes of a run on real sockets: zone partitions and lost or duplicated datagrams.
+ * It handles bytes and time only and opens no socket. Nothing crosses a cut, not even a close; when the cut ends,
+ * connections on which something was dropped are reset and the others continue.
  */
 public final class Fabric {
 
     /**
-     * What the faults did, so that a rehearsal can show that they were really there.
+     * Counts of injected faults.
      *
-     * @param bytesHeld        of connections, swallowed at a cut
-     * @param resets           connections that were reset when a cut was over
-     * @param datagrams        that came to the fabric
-     * @param datagramsLost    by chance
-     * @param datagramsCut     at a cut
-     * @param datagramsDoubled delivered twice
+     * @param bytesHeld bytes of connections dropped at a cut
+     * @param resets connections reset when a cut ended
+     * @param datagrams datagrams given to the fabric
+     * @param datagramsLost datagrams dropped at random
+     * @param datagramsCut datagrams dropped at a cut
+     * @param datagramsDoubled datagrams delivered twice
      */
     public record Counts(
             long bytesHeld,
@@ -50,7 +50,7 @@
     private long datagramsCut;
     private long datagramsDoubled;
 
-    /** @param random that decides on datagrams */
+    /** @param random decides on the loss, duplication and delay of datagrams */
     public Fabric(Scenario.Net net, int zones, Time time, UniformRandomProvider random) {
         this.net = net;
         this.time = time;
@@ -58,7 +58,7 @@
         cuts = new ZoneCuts(zones);
     }
 
-    /** Keeps what one zone says from another, the one way only, or lets it pass again. Cuts may overlap. */
+    /** Starts or ends a cut of one direction between two zones. Cuts may overlap. */
     public void cut(int from, int to, boolean cut) {
         cuts.cut(from, to, cut);
         if (!cut) {
@@ -66,7 +66,7 @@
         }
     }
 
-    /** Cuts a zone off from all others, or joins it to them again. */
+    /** Starts or ends a cut between a zone and all others. */
     public void cut(int zone, boolean cut) {
         cuts.cutOff(zone, cut);
         if (!cut) {
@@ -74,7 +74,7 @@
         }
     }
 
-    /** A cut has ended: connections that can pass again go on or are reset. */
+    /** Resets connections that lost something and whose zones can reach each other again. */
     private void cutEnded() {
         for (FabricConnection connection : List.copyOf(connections)) {
             connection.cutEnded();
@@ -85,17 +85,17 @@
         return cuts.isCut(from, to);
     }
 
-    /** Loses so large a share of the datagrams, beside what the scenario loses always. */
+    /** Sets a share of datagrams to lose; the larger of this and the loss of the scenario applies. */
     public void lose(double share) {
         extraDatagramLoss = share;
     }
 
     /**
-     * Puts itself between a connection and the host that takes it.
+     * Interposes the fabric between a connection and the host that accepts it.
      *
-     * @param openerZone zone of the process that opened it
-     * @param hostZone  zone of the host
-     * @param host takes what it is shown as its connection; null to close it unheard
+     * @param openerZone zone of the process that opened the connection
+     * @param hostZone zone of the host
+     * @param host accepts the proxied connection, or returns null to close it
      */
     public LinkEvents between(Link link, int openerZone, int hostZone, Function<Link, LinkEvents> host) {
         FabricConnection connection = new FabricConnection(this, link, openerZone, hostZone);
@@ -104,7 +104,11 @@
         return connection;
     }
 
-    /** Takes a datagram; {@code arrives} runs as often as it comes through, and when. */
+    /**
+     * Passes on a datagram.
+     *
+     * @param onArrival runs once for each copy that is delivered, at its time of arrival
+     */
     public void datagram(int from, int to, Runnable onArrival) {
         datagrams++;
         if (isCut(from, to)) {
@@ -143,7 +147,7 @@
         connections.remove(connection);
     }
 
-    /** What has passed and what was lost so far. */
+    /** Returns the counts so far. */
     public Counts counts() {
         return new Counts(bytesHeld, resets, datagrams, datagramsLost, datagramsCut, datagramsDoubled);
     }
--- a/emulator/src/main/java/baymoor/emulator/fabric/FabricConnection.java
+++ b/emulator/src/main/java/baymoor/emulator/fabric/FabricConnection.java
@@ -5,8 +5,8 @@
 import java.util.function.Function;
 
 /**
- * One connection through the fabric: to its host a connection, to the real one what happens on it. While its zones are cut off
- * neither hears of the other; what one says meanwhile is lost, and the connection with it once the cut is over.
+ * A proxied connection of the fabric: the host uses it as its {@link Link}, the real connection reports its events to it.
+ * What is sent during a cut is dropped, and the connection is reset once the cut has ended.
  */
 final class FabricConnection implements Link, LinkEvents {
 
@@ -15,13 +15,14 @@
     private final int openerZone;
     private final int hostZone;
     private LinkEvents host;
-    /** Something was said or done that the host, or the real connection, never heard of. */
+    /** Whether an event or bytes for the host were dropped at a cut. */
     private boolean inboundLost;
 
+    /** Whether bytes or a close from the host were dropped at a cut. */
     private boolean outboundLost;
-    /** The host knows that it is over, or never heard of it. */
+    /** Whether the host was told of the close, or never accepted the connection. */
     private boolean hostNotified;
-    /** The real connection is over. */
+    /** Whether the real connection has closed. */
     private boolean connectionClosed;
 
     FabricConnection(Fabric fabric, Link link, int openerZone, int hostZone) {
@@ -31,7 +32,7 @@
         this.hostZone = hostZone;
     }
 
-    /** The call comes to the host, or is stuck at a cut like all else. */
+    /** Hands the connection to the host, or drops it if the zones are cut off. */
     void accept(Function<Link, LinkEvents> acceptor) {
         if (fabric.isCut(openerZone, hostZone)) {
             inboundLost = true;
@@ -53,7 +54,7 @@
         return !connectionClosed && !outboundLost && !fabric.isCut(hostZone, openerZone);
     }
 
-    /** A cut is over: where neither way is cut any more, what was stuck is reset. */
+    /** Resets the connection if something was dropped and neither direction is cut any more. */
     void cutEnded() {
         if (!inboundLost && !outboundLost || fabric.isCut(openerZone, hostZone) || fabric.isCut(hostZone, openerZone)) {
             return;
@@ -80,7 +81,7 @@
         }
     }
 
-    // ---- the host's side
+    // Called by the host.
 
     @Override
     public void write(byte[] bytes) {
@@ -110,7 +111,7 @@
         }
     }
 
-    /** The host is done with it; the other side will hear of that once the cut is over. */
+    /** Closes the connection for the host; the other side is reset once the cut has ended. */
     private void closeDuringCut() {
         outboundLost = true;
         fabric.time.after(0, this::notifyHostClosed);
@@ -131,7 +132,7 @@
         link.reading(on);
     }
 
-    // ---- the real connection's side
+    // Called by the real connection.
 
     @Override
     public void opened() {
@@ -168,7 +169,7 @@
     public void closed() {
         connectionClosed = true;
         if (fabric.isCut(openerZone, hostZone) && !hostNotified) {
-            inboundLost = true; // the host hears of it when the cut is over
+            inboundLost = true; // reported to the host when the cut ends
         } else {
             finishClose();
         }
--- a/emulator/src/main/java/baymoor/emulator/fabric/ZoneCuts.java
+++ b/emulator/src/main/java/baymoor/emulator/fabric/ZoneCuts.java
@@ -1,22 +1,25 @@
 package baymoor.emulator.fabric;
 
-/** Which zones are cut off from one another, each direction by itself. Cuts may overlap: a way is open once all have ended. */
+/**
+ * Tracks network partitions between zones, each direction separately. Cuts may overlap: a direction is open once all of
+ * its cuts have ended.
+ */
 public final class ZoneCuts {
 
-    /** How many cuts keep what the first zone sends from the second. */
+    /** Number of active cuts of each direction, by source and destination zone. */
     private final int[][] activeCuts;
 
-    /** Nothing is cut at first. */
+    /** Creates zones without any cut. */
     public ZoneCuts(int zones) {
         activeCuts = new int[zones][zones];
     }
 
-    /** Cuts the way from one zone to another, or ends such a cut. */
+    /** Starts or ends a cut of one direction. */
     public void cut(int from, int to, boolean cut) {
         activeCuts[from][to] += cut ? 1 : -1;
     }
 
-    /** Cuts a zone off from all others in both directions, or ends such a cut. */
+    /** Starts or ends a cut between a zone and all others, in both directions. */
     public void cutOff(int zone, boolean cut) {
         for (int other = 0; other < activeCuts.length; other++) {
             if (other != zone) {
@@ -26,7 +29,7 @@
         }
     }
 
-    /** Whether what one zone sends to another is lost at present. */
+    /** Returns whether traffic from one zone to another is dropped. */
     public boolean isCut(int from, int to) {
         return activeCuts[from][to] > 0;
     }
--- a/emulator/src/main/java/baymoor/emulator/virtual/AttemptObserver.java
+++ b/emulator/src/main/java/baymoor/emulator/virtual/AttemptObserver.java
@@ -8,8 +8,8 @@
 import java.util.function.ToIntFunction;
 
 /**
- * Reads on a balancer's own connections which request leaves for which host, from the bytes alone: so the judge hears
- * what crossed the wire, whatever the balancer believes of it.
+ * Parses the bytes that a balancer sends to hosts and reports each attempt to the judge, independently of the balancer's
+ * own counters.
  */
 final class AttemptObserver implements VirtualNet.ConnectionObserver {
 
@@ -20,7 +20,10 @@
     private final Function<InetSocketAddress, String> hostAtAddress;
     private final ToIntFunction<VirtualProcess> balancerNumber;
 
-    /** @param hostAtAddress name of the host at an address, or null where it is none that takes requests */
+    /**
+     * @param hostAtAddress returns the name of the host at an address, or null if no host there takes requests
+     * @param balancerNumber returns the index of a balancer's process
+     */
     AttemptObserver(
             Judge judge,
             Function<InetSocketAddress, String> hostAtAddress,
@@ -49,10 +52,10 @@
         judge.attemptClosed(connection);
     }
 
-    /** The id of the request that these bytes carry, or null if they carry none, as a probe's do. */
+    /** Returns the id of the request in these bytes, or null if they hold none, as a probe does. */
     static String requestId(byte[] bytes) {
         if (bytes[0] != '*') {
-            // Only the head is read: a value may hold anything.
+            // HTTP: only the head is searched, as the body may contain the header's name.
             int end = Math.min(bytes.length, 2048);
             String head = new String(bytes, 0, end, StandardCharsets.ISO_8859_1);
             int body = head.indexOf("\r\n\r\n");
--- a/emulator/src/main/java/baymoor/emulator/virtual/EventLog.java
+++ b/emulator/src/main/java/baymoor/emulator/virtual/EventLog.java
@@ -10,8 +10,8 @@
 import java.util.HexFormat;
 
 /**
- * What happened, a line an event: microseconds since the start, what, who, whom, and two figures, the second of which
- * is the CRC-32C of the bytes where there were any. Its SHA-256 is the run's fingerprint.
+ * Writes one line for each event: microseconds since the start, event, actor, target, a number and the CRC-32C of the
+ * bytes, or 0 without bytes. The SHA-256 of all lines identifies the run.
  */
 public final class EventLog {
 
@@ -23,14 +23,14 @@
     private final StringBuilder buffer = new StringBuilder(FLUSH_THRESHOLD_CHARS + 256);
     private long lineCount;
 
-    /** @param out gets the lines too, or null */
+    /** @param out receives the lines; may be null */
     public EventLog(Engine engine, OutputStream out) {
         this.engine = engine;
         this.out = out;
         try {
             digest = MessageDigest.getInstance("SHA-256");
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java has SHA-256", e);
+            throw new IllegalStateException("SHA-256 is not available", e);
         }
     }
 
@@ -66,12 +66,12 @@
         }
     }
 
-    /** Lines written so far. */
+    /** Returns the number of lines so far. */
     public long lines() {
         return lineCount;
     }
 
-    /** The SHA-256 of all lines; the log is at its end. */
+    /** Returns the SHA-256 of all lines in hexadecimal; no line may be appended afterwards. */
     public String fingerprint() {
         flush();
         return HexFormat.of().formatHex(digest.digest());
--- a/emulator/src/main/java/baymoor/emulator/virtual/FaultInjector.java
+++ b/emulator/src/main/java/baymoor/emulator/virtual/FaultInjector.java
@@ -4,20 +4,17 @@
 import baymoor.link.Link;
 import baymoor.link.Time;
 
-/**
- * What stands between the balancers and their connections. In a run nothing does; a test of the judge puts something
- * here that makes a good balancer act like a faulty one.
- */
+/** Wraps the connections of balancers. Runs use {@link #NONE}; tests of the judge make a correct balancer misbehave. */
 interface FaultInjector {
 
     FaultInjector NONE = new FaultInjector() {};
 
-    /** The connections that a balancer opens. */
+    /** Wraps the dialer of a balancer. */
     default Dialer wrapDialer(Time time, Dialer actual) {
         return actual;
     }
 
-    /** A connection that a client has opened. */
+    /** Wraps a connection that a client opened to a balancer. */
     default Link wrapClientLink(Time time, Link actual) {
         return actual;
     }
--- a/emulator/src/main/java/baymoor/emulator/virtual/Speed.java
+++ b/emulator/src/main/java/baymoor/emulator/virtual/Speed.java
@@ -9,10 +9,14 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** Measures how fast virtual time passes, for fleets of several sizes. */
+/** Benchmarks the speed of the emulator in virtual time for fleets of several sizes. */
 public final class Speed {
 
-    /** {@code times}: virtual seconds for each real one; medians over the repeats. */
+    /**
+     * The median results of a fleet size.
+     *
+     * @param times virtual seconds per real second
+     */
     public record Row(String name, double times, double eventsPerSecond, double nanosPerEvent) {}
 
     private record Size(String name, int balancers, int routers, int rate, int seconds) {
@@ -65,12 +69,12 @@
 
     private Speed() {}
 
-    /** Plays each size of fleet so many times and gives the medians. */
+    /** Runs each fleet size the given number of times and returns the medians. */
     public static List<Row> run(int repeats, Consumer<String> progress) {
         double[][] times = new double[SIZES.size()][repeats];
         double[][] events = new double[SIZES.size()][repeats];
         for (int i = -1; i < repeats; i++) {
-            for (int s = 0; s < (i < 0 ? 1 : SIZES.size()); s++) { // the smallest warms up for all
+            for (int s = 0; s < (i < 0 ? 1 : SIZES.size()); s++) { // warm-up with the smallest fleet
                 progress.accept("run " + (i + 1) + " of " + repeats + ": " + SIZES.get(s).name);
                 VirtualRun.Result result =
                         VirtualRun.play(SIZES.get(s).scenario(), new VirtualRun.Options(1, null, true, at -> {}));
@@ -90,7 +94,7 @@
         return rows;
     }
 
-    /** The rows as a JSON array. */
+    /** Returns the rows as a JSON array. */
     public static ArrayNode json(List<Row> rows) {
         ArrayNode all = new ObjectMapper().createArrayNode();
         rows.forEach(result -> all.addObject()
--- a/emulator/src/main/java/baymoor/emulator/virtual/VirtualFleet.java
+++ b/emulator/src/main/java/baymoor/emulator/virtual/VirtualFleet.java
@@ -21,11 +21,14 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The balancers in virtual time: the serving program's own state machines, configured as a real one is. */
+/**
+ * Runs the balancers in virtual time: the same {@link Assembly} as the serving program, with a configuration in its format.
+ * Called on the thread that runs the engine.
+ */
 final class VirtualFleet implements Fleet {
 
     private static final Logger LOG = LoggerFactory.getLogger(VirtualFleet.class);
-    /** As a heap of 48 MB would allow; a figure of its own, so that no run depends on the emulator's heap. */
+    /** Equals the limit with a heap of 48 MB; fixed so that a run does not depend on the heap of the emulator. */
     private static final long MAX_VALUE_BYTES = 8 << 20;
 
     private final Engine engine;
@@ -92,7 +95,7 @@
         }
     }
 
-    /** Starts all of them at once, ready when the run begins. */
+    /** Starts all balancers at the same time. */
     void startAll() {
         balancers.forEach(this::start);
     }
@@ -120,7 +123,7 @@
             net.bindDatagrams(platform.peer(b.number, b.number), b.process, assembly::heard);
             b.process.post(() -> assembly.start(() -> serve(b, assembly)));
         } catch (BadConfig e) {
-            throw new IllegalStateException("a configuration of our own making is bad: " + e.getMessage(), e);
+            throw new IllegalStateException("generated balancer configuration is invalid: " + e.getMessage(), e);
         }
         log.append("start", b.process.name(), "-", b.incarnation, 0);
     }
@@ -177,7 +180,7 @@
         log.append("term", b.process.name(), "-", b.incarnation, 0);
         Assembly ending = b.assembly;
         b.process.post(() -> ending.drain(() -> net.stopListening(platform.balancer(balancer)), () -> {
-            // What it leaves unanswered by ending is its own doing, so nothing is excused.
+            // Requests left unanswered by a planned restart are not excused by the judge.
             terminate(b, false);
             scheduleStart(b, scenario.balancers().startMicros());
         }));
@@ -200,7 +203,7 @@
         b.process.stall(forMicros);
     }
 
-    /** Looks whether a balancer's own counters tell of something that should never be. */
+    /** Reports failures counted by the balancers themselves to the judge. */
     void checkCounters() {
         balancers.forEach(this::checkCounters);
     }
--- a/emulator/src/main/java/baymoor/emulator/virtual/VirtualLink.java
+++ b/emulator/src/main/java/baymoor/emulator/virtual/VirtualLink.java
@@ -8,10 +8,10 @@
 import java.util.ArrayDeque;
 import java.util.Set;
 
-/** One side of a connection in virtual time. */
+/** One endpoint of a connection in virtual time. */
 final class VirtualLink implements Tracked {
 
-    /** From a balancer's word to write until the bytes are with the network, as with a thread of I/O between. */
+    /** Delay between a write by a balancer and the bytes entering the network, as with a separate I/O thread. */
     private static final long SEND_DELAY_MICROS = 20;
 
     private final VirtualNet net;
@@ -23,11 +23,14 @@
     private LinkEvents events;
     private VirtualLink peer;
     private boolean openedByBalancer;
-    /** This side has ended it; the other side has; and this side's process has been told so. */
+    /** Whether this side has closed the connection. */
     private boolean closedLocally;
 
+    /** Whether the other side or the network has closed it. */
     private boolean closedRemotely;
+    /** Whether this side's process has been notified of the close, or has died. */
     private boolean closeDelivered;
+
     private boolean reading = true;
     private long lastArrival;
     private int undeliveredBytes;
@@ -44,7 +47,7 @@
         this.remoteAddress = remoteAddress;
     }
 
-    /** What goes this way on this connection comes in its order. */
+    /** Returns the key that keeps the events of this direction of the connection in order. */
     private long orderingKey() {
         return 2 * number + (remoteAddress == null ? 1 : 2);
     }
@@ -53,31 +56,31 @@
         return number;
     }
 
-    /** Whether a balancer opened it: then its bytes leave a little later, and the tap sees them. */
+    /** Sets whether a balancer opened it: its bytes are then sent with a delay and shown to the observer. */
     void setOpenedByBalancer(boolean byBalancer) {
         openedByBalancer = byBalancer;
     }
 
-    /** Whether this side has ended it, or it has been ended for this side. */
+    /** Returns whether either side or the network has closed it. */
     boolean isClosed() {
         return closeDelivered || closedLocally || closedRemotely;
     }
 
-    /** A call that is lost at a cut: there is no other side. */
+    /** Connects to an endpoint that never responds, as the connection attempt is lost at a cut. */
     void connectUnreachable(VirtualProcess peerProcess) {
         peer = new VirtualLink(net, peerProcess, null, number, null);
         peer.closeDelivered = true;
         peer.peer = this;
     }
 
-    /** A call that has come to a machine that listens; gives the other side. */
+    /** Connects to a process that listens and returns the endpoint on its side. */
     VirtualLink connectTo(VirtualProcess peerProcess) {
         peer = new VirtualLink(net, peerProcess, null, number, null);
         peer.peer = this;
         return peer;
     }
 
-    /** The process that was called takes the connection, or refuses it. */
+    /** Lets the listening process accept or refuse the connection. */
     void accept(Acceptor acceptor, int balancer) {
         LinkEvents taken = closeDelivered ? null : acceptor.accept(this, balancer);
         if (taken == null) {
@@ -88,7 +91,7 @@
         }
     }
 
-    /** Tells the caller that the connection is up, once that has travelled back. */
+    /** Notifies the caller after the network delay that the connection is established. */
     void notifyOpened() {
         lastArrival = net.engine.now() + net.delay(process, peer.process);
         net.engine.schedule(lastArrival, orderingKey(), () -> peer.opened());
@@ -104,7 +107,7 @@
         }
     }
 
-    /** A cut is over: what was stuck on a way that is open again is lost, and the connection is reset. */
+    /** Resets the connection, unless its direction is still cut. */
     void resetAfterCut() {
         if (!net.isCut(process, peer.process)) {
             net.blocked.remove(this);
@@ -136,7 +139,7 @@
         });
     }
 
-    /** The bytes go out, and the process is told so: also one that has closed the connection meanwhile. */
+    /** Sends the bytes and notifies the process that they were written, even if it has closed the connection meanwhile. */
     private void transmit(Delivery delivery) {
         if (closedRemotely || closeDelivered) {
             return;
@@ -196,10 +199,10 @@
         }
         closedLocally = true;
         if (closedRemotely) {
-            return; // its end is on the way to this side already
+            return; // the notification of the close is queued already
         }
         ending = Ending.BY_THIS_SIDE;
-        // What was handed over and has not left may leave all the same, or be dropped: the two cross.
+        // Unsent writes race with the close: each is either sent or dropped.
         while (!queuedDeliveries.isEmpty()) {
             Delivery delivery = queuedDeliveries.poll();
             if (net.random(process).nextBoolean()) {
@@ -247,7 +250,7 @@
         });
     }
 
-    /** The other side, or the network, has ended it. */
+    /** Closes this endpoint on behalf of the other side or the network. */
     void closedByNetwork(Ending cause) {
         if (closedLocally || closedRemotely || closeDelivered || !process.alive()) {
             return;
@@ -286,14 +289,14 @@
     @Override
     public void finish(boolean inAnyCase) {
         if (closedLocally || closeDelivered || !inAnyCase && undeliveredBytes > 0) {
-            return; // what has come in is told, and its state machine thinks again
+            return; // the pending bytes are delivered first and may change the decision
         }
         process.post(() -> {
             if (!closeDelivered && events != null) {
                 events.finished();
             }
         });
-        close(); // what was written has left
+        close();
     }
 
     @Override
--- a/emulator/src/main/java/baymoor/emulator/virtual/VirtualNet.java
+++ b/emulator/src/main/java/baymoor/emulator/virtual/VirtualNet.java
@@ -22,13 +22,13 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * The network in virtual time: connections that carry the real bytes in order, each way with its own delay, and
- * datagrams that may be lost, doubled or overtaken. Between zones that are cut off from one another nothing passes and
- * nothing is told; once the cut is over, connections on which something was stuck are reset, the others go on.
+ * The network in virtual time: connections carry bytes in order, with a separate delay for each direction, and datagrams
+ * may be lost, duplicated or reordered. Nothing crosses a cut between zones, not even a close; when the cut ends,
+ * connections on which something was blocked are reset and the others continue. Called on the thread that runs the engine.
  */
 final class VirtualNet {
 
-    /** Sees what a balancer does on the connections that it opened itself. */
+    /** Observes the traffic of connections that balancers opened. */
     interface ConnectionObserver {
         void sent(VirtualProcess balancer, long connection, InetSocketAddress to, byte[] bytes);
 
@@ -79,7 +79,7 @@
         }
     }
 
-    /** From now on what these sites send and receive on connections of their own is shown to the tap. */
+    /** Sets the observer of connections that balancers opened. */
     void observe(ConnectionObserver newObserver) {
         observer = newObserver;
     }
@@ -88,7 +88,7 @@
         balancers.put(process, number);
     }
 
-    /** The number of a balancer's site, -1 for any other. */
+    /** Returns the index of the balancer of a process, or -1 for any other process. */
     int balancerNumber(VirtualProcess process) {
         return balancers.getOrDefault(process, -1);
     }
@@ -102,7 +102,7 @@
         listeners.remove(address);
     }
 
-    /** The machine at this address is gone without a word: who calls it hears nothing. */
+    /** Makes an address unreachable: connection attempts get no response. */
     void makeUnreachable(InetSocketAddress address) {
         listeners.remove(address);
         unreachable.add(address);
@@ -121,12 +121,12 @@
         return (to, events) -> dial(from, to, events);
     }
 
-    /** Share of datagrams lost beside what the scenario loses always. */
+    /** Sets a share of datagrams to lose; the larger of this and the loss of the scenario applies. */
     void extraDatagramLoss(double share) {
         extraDatagramLoss = share;
     }
 
-    /** Cuts a zone off from all others, or joins it to them again. */
+    /** Starts or ends a cut between a zone and all others. */
     void cut(int zone, boolean cut) {
         cuts.cutOff(zone, cut);
         if (!cut) {
@@ -154,7 +154,7 @@
         return (long) (baseMicros * (1 + net.jitter() * Math.min(MAX_JITTER_FACTOR, Draw.exponential(random(from)))));
     }
 
-    /** The process at a site is gone: its connections are reset, or silent where the whole machine vanished. */
+    /** Resets the connections of a process that died, or leaves them silent if its machine vanished. */
     void processDied(VirtualProcess process, boolean silently) {
         listeners.entrySet().removeIf(e -> {
             boolean ownedByProcess = e.getValue().process == process;
@@ -210,7 +210,7 @@
         open.computeIfAbsent(from, s -> new LinkedHashSet<>()).add(callerLink);
         Listener at = listeners.get(to);
         if (at == null) {
-            if (!unreachable.contains(to)) { // the machine is there and says that nobody listens
+            if (!unreachable.contains(to)) { // reachable machine, closed port
                 engine.after(2 * net.same(), () -> callerLink.closedByNetwork(Tracked.Ending.REFUSED));
             }
             return callerLink;
@@ -224,7 +224,7 @@
         return callerLink;
     }
 
-    /** The call has come to the machine that it was for. */
+    /** Handles the arrival of a connection attempt at its destination. */
     private void connectArrived(VirtualLink callerLink, VirtualProcess from, InetSocketAddress to) {
         Listener at = listeners.get(to);
         if (callerLink.isClosed()) {
--- a/emulator/src/main/java/baymoor/emulator/virtual/VirtualPlatform.java
+++ b/emulator/src/main/java/baymoor/emulator/virtual/VirtualPlatform.java
@@ -12,7 +12,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Virtual time and the virtual network, as a world and its balancers need them. */
+/** The {@link Platform} of a run in virtual time and on the virtual network. */
 final class VirtualPlatform implements Platform {
 
     private static final int PORT = 7000;
@@ -33,7 +33,7 @@
         return processes.computeIfAbsent(
                 name,
                 n -> new VirtualProcess(engine, n, zone, n.startsWith("clients-"), 0, failure -> {
-                    throw new IllegalStateException("the emulator's own " + n + " failed", failure);
+                    throw new IllegalStateException("simulated process " + n + " failed", failure);
                 }));
     }
 
@@ -43,7 +43,7 @@
                 byte[] octets = {127, (byte) (group + (number >> 16)), (byte) (number >> 8), (byte) number};
                 return new InetSocketAddress(InetAddress.getByAddress(octets), port);
             } catch (UnknownHostException e) {
-                throw new IllegalStateException("four bytes are an address", e);
+                throw new IllegalStateException("four bytes always form an IPv4 address", e);
             }
         });
     }
@@ -87,7 +87,7 @@
         return at;
     }
 
-    /** The place that an address is of, or -1. */
+    /** Returns the place of an address, or -1 if it has none. */
     int place(InetSocketAddress address) {
         return places.getOrDefault(address, -1);
     }
--- a/emulator/src/main/java/baymoor/emulator/virtual/VirtualRouter.java
+++ b/emulator/src/main/java/baymoor/emulator/virtual/VirtualRouter.java
@@ -5,14 +5,14 @@
 import baymoor.emulator.scenario.Scenario;
 import baymoor.emulator.world.RouterLoad;
 
-/** One router alone under load in virtual time. */
+/** Runs a load test of a single router in virtual time. */
 public final class VirtualRouter {
 
     private static final long STEP_MICROS = 1_000_000;
 
     private VirtualRouter() {}
 
-    /** Loads one router in virtual time until the run is over. */
+    /** Runs the load test to its end and returns its results. */
     public static RouterLoad play(Scenario scenario, long seed, double load) {
         Engine engine = new Engine();
         Streams streams = new Streams(seed);
--- a/emulator/src/main/java/baymoor/emulator/virtual/VirtualRun.java
+++ b/emulator/src/main/java/baymoor/emulator/virtual/VirtualRun.java
@@ -16,20 +16,20 @@
 import java.util.Map;
 import java.util.function.LongConsumer;
 
-/** Plays a scenario in virtual time, from its start to the last answer, under the eyes of the judge. */
+/** Runs a scenario in virtual time until the last answer while the judge checks the rules. */
 public final class VirtualRun {
 
     private static final long CHECK_INTERVAL_MICROS = 100_000;
     private static final int MAX_REPORTED_VIOLATIONS = 100;
 
     /**
-     * How to play.
+     * Options of a run.
      *
-     * @param log       gets the lines of the event log, or null
-     * @param keepGoing whether a broken rule is noted only, instead of ending the run
-     * @param progress  hears the microseconds that have passed, once for each virtual second
-     * @param grid      microseconds at whose multiples events fall due, 1 for none
-     * @param shuffle   seed of the order of events that are due at once, 0 for that in which they were scheduled
+     * @param log receives the lines of the event log; may be null
+     * @param keepGoing whether the run continues after a broken rule
+     * @param progress receives the elapsed virtual microseconds once per virtual second
+     * @param grid events are due at multiples of these microseconds, 1 for no grid
+     * @param shuffle seed of the order of events due at the same time, 0 for the order in which they were scheduled
      */
     public record Options(
             long seed, OutputStream log, boolean keepGoing, LongConsumer progress, long grid, long shuffle) {
@@ -38,19 +38,21 @@
             this(seed, log, keepGoing, progress, 1, 0);
         }
 
-        /** Options with a seed and nothing else: no log, and the run ends at the first broken rule. */
+        /** Returns options with a seed, without a log, which end the run at the first broken rule. */
         public static Options seed(long seed) {
             return new Options(seed, null, false, micros -> {});
         }
     }
 
     /**
-     * What came of it.
+     * The result of a run.
      *
      * @param fingerprint SHA-256 of the event log
-     * @param broken      the first rules that broke
-     * @param virtual     microseconds played
-     * @param events      of the engine, performed
+     * @param lines number of lines of the event log
+     * @param broken the first violations, of a limited number
+     * @param counts number of violations by rule
+     * @param virtual elapsed virtual microseconds
+     * @param events number of events executed by the engine
      */
     public record Result(
             Scenario scenario,
@@ -64,12 +66,12 @@
             long events,
             long wallNanos) {
 
-        /** Whether every rule was kept. */
+        /** Returns whether no rule was broken. */
         public boolean kept() {
             return broken.isEmpty();
         }
 
-        /** The figures of the run. */
+        /** Returns the summary of the run. */
         public Summary summary() {
             return new Summary(
                     scenario.name(),
@@ -86,7 +88,7 @@
 
     private VirtualRun() {}
 
-    /** Plays a scenario in virtual time. */
+    /** Runs a scenario in virtual time. */
     public static Result play(Scenario scenario, Options options) {
         return play(scenario, options, FaultInjector.NONE);
     }
--- a/emulator/src/test/java/baymoor/emulator/engine/VirtualProcessTest.java
+++ b/emulator/src/test/java/baymoor/emulator/engine/VirtualProcessTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.Test;
 
-/** The order of events, which a replay rests on. */
+/** Checks the order of events, which deterministic replay depends on. */
 public class VirtualProcessTest {
 
     private final Engine engine = new Engine();
--- a/emulator/src/test/java/baymoor/emulator/fabric/FabricTest.java
+++ b/emulator/src/test/java/baymoor/emulator/fabric/FabricTest.java
@@ -15,7 +15,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.Test;
 
-/** Zones 0 and 1, a balancer in the second, a host in the first, and what passes between them. */
+/** Checks the faults injected between a host in zone 0 and a balancer in zone 1. */
 public class FabricTest {
 
     private static final int HOST = 0;
@@ -23,7 +23,7 @@
 
     private final ManualTime time = new ManualTime();
     private final Fabric fabric = fabric("");
-    /** The real connection, as a driver would have it. */
+    /** The real connection, as an I/O driver provides it. */
     private final RecordingLink clientLink = new RecordingLink();
 
     private final Host host = new Host();
--- a/emulator/src/test/java/baymoor/emulator/virtual/CutWhileRoutersDrainTest.java
+++ b/emulator/src/test/java/baymoor/emulator/virtual/CutWhileRoutersDrainTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.Test;
 
-/** Routers drain while a zone is cut off: what discovery writes into a silent connection is no word that was heard. */
+/** Guards against counting discovery updates as received when they were written to a watch behind a zone cut. */
 public class CutWhileRoutersDrainTest {
 
     @Test
--- a/emulator/src/test/java/baymoor/emulator/virtual/FaultyBalancerTest.java
+++ b/emulator/src/test/java/baymoor/emulator/virtual/FaultyBalancerTest.java
@@ -18,7 +18,7 @@
 import java.util.function.BiFunction;
 import org.junit.Test;
 
-/** The judge in a whole world: a balancer made faulty in one way each, and the rule that it must be caught by. */
+/** Checks that the judge detects each injected fault of a balancer with the expected rule. */
 public class FaultyBalancerTest {
 
     private static final String SMALL_SCENARIO = """
@@ -74,7 +74,7 @@
         return first.rule();
     }
 
-    /** What is written to clients goes through a function, which may write otherwise by itself and give null. */
+    /** Passes answers to clients through a function; null drops the answer. */
     private static FaultInjector rewriteAnswers(BiFunction<Link, byte[], byte[]> change) {
         return new FaultInjector() {
             @Override
@@ -96,7 +96,7 @@
         return answer[0] == '$';
     }
 
-    /** After the real command has left, does something with it once more. */
+    /** Sends a command once more after the original. */
     private interface Resend {
         void send(Time time, Dialer real, InetSocketAddress to, byte[] command);
     }
@@ -118,7 +118,7 @@
         };
     }
 
-    /** Sends bytes on a connection of its own. */
+    /** Sends bytes on a new connection. */
     private static void sendOnNewConnection(Dialer dialer, InetSocketAddress to, byte[] bytes) {
         Link[] link = new Link[1];
         link[0] = dialer.dial(to, new LinkEvents() {
@@ -222,7 +222,7 @@
                                         time.after(2_500_000, () -> sendOnNewConnection(dialer, to, bytes)))));
     }
 
-    /** What discovery says to the balancers goes through a replacement. */
+    /** Replaces a pattern in the answers of discovery. */
     private static FaultInjector rewriteDiscovery(String pattern, String replacement) {
         return new FaultInjector() {
             @Override
@@ -236,7 +236,7 @@
                     @Override
                     public void received(byte[] bytes) {
                         String text = new String(bytes, StandardCharsets.ISO_8859_1);
-                        // Of the same length, since chunks state theirs.
+                        // The replacement has the same length, as the chunk header states it.
                         events.received(
                                 text.contains("endpoints")
                                         ? text.replaceAll(pattern, replacement).getBytes(StandardCharsets.ISO_8859_1)
@@ -314,7 +314,7 @@
                         .wrapDialer(time, originStorm.wrapDialer(time, real));
             }
         };
-        // Many keys, all kept where it is warm: nearly every read at a cold router is a miss.
+        // Warm routers cache all of the many keys, so that nearly every read at a cold router is a miss.
         Scenario scenario = ScenarioReader.parse(
                 COLD_ROUTER_SCENARIO
                         .replace("tip_multiple = 1.2", "tip_multiple = 1000")
--- a/emulator/src/test/java/baymoor/emulator/virtual/ForwardingLink.java
+++ b/emulator/src/test/java/baymoor/emulator/virtual/ForwardingLink.java
@@ -2,7 +2,7 @@
 
 import baymoor.link.Link;
 
-/** Passes all on. */
+/** Forwards all calls to another link; tests override single methods. */
 class ForwardingLink implements Link {
     final Link real;
 
--- a/emulator/src/test/java/baymoor/emulator/virtual/OverbookedDiscoveryTest.java
+++ b/emulator/src/test/java/baymoor/emulator/virtual/OverbookedDiscoveryTest.java
@@ -16,9 +16,8 @@
 import org.junit.Test;
 
 /**
- * What a whole tier does that calls for the list at once: discovery works calls off one after another, some 20 a second, turns
- * down at once whoever would wait too long, and spends time on that too. Routers drain just then. The figures in
- * {@code docs/design/discovery.md} are what this prints.
+ * Checks that all balancers regain their watch soon after a mass kill or an outage, although discovery accepts only a limited
+ * rate of calls and rejects the rest. Routers drain meanwhile. {@code docs/design/discovery.md} cites the printed figures.
  */
 public class OverbookedDiscoveryTest {
 
@@ -52,7 +51,7 @@
             for = "30s"
             """;
 
-    /** Seven in ten are killed at once; routers drain while they are away. */
+    /** Kills 70% of the balancers at once. */
     private static final String MASS_KILL = """
             [[script]]
             at = "3s"
@@ -63,7 +62,7 @@
             planned = false
             """;
 
-    /** While it is down it looks as if too many called. */
+    /** Discovery answers as overloaded while it is down. */
     private static final String BUSY_WHEN_DOWN = "starts_as_held = true\nbusy_when_down = true\nat_once = false\n";
 
     private static final String LONG_OUTAGE = """
@@ -73,7 +72,7 @@
             for = "20s"
             """;
 
-    /** Discovery is down; routers drain meanwhile. */
+    /** Discovery is down while routers drain. */
     private static final String OUTAGE = """
             [[script]]
             at = "3s"
@@ -81,19 +80,21 @@
             for = "6s"
             """;
 
-    /** When those that were killed listen again, and when discovery is back; a script's times begin after the warm-up. */
+    /** Second of the run at which killed balancers listen again; script times start after the warm-up. */
     private static final double RESTARTED_SECOND = 6.5;
 
+    /** Second of the run at which discovery is available again. */
     private static final double DISCOVERY_BACK_SECOND = 11;
+
     private static final double FIRST_KILL_SECOND = 5;
-    /** Calls for a watch that discovery works off in a second. */
+    /** Watch calls that discovery serves per second. */
     private static final int MAX_WATCH_CALLS_PER_SECOND = 22;
 
-    /** How the calls of a run ended. */
+    /** The outcome of the watch calls of a run. */
     private record WatchCalls(
             List<String> broken, int callers, int maxCallsPerSecond, List<Double> watchDelaysSeconds, double served) {
 
-        /** Seconds until so many of a hundred callers had a watch; infinite if they never had. */
+        /** Returns the seconds until a percentage of the callers had a watch; infinite if they never had. */
         double secondsUntilWatched(int percent) {
             int index = (callers * percent + 99) / 100 - 1;
             return index < watchDelaysSeconds.size() ? watchDelaysSeconds.get(index) : Double.POSITIVE_INFINITY;
@@ -164,7 +165,7 @@
         return play(balancers, MASS_KILL, 3_200, RESTARTED_SECOND, 20, balancers * 7 / 10);
     }
 
-    /** Longer than a change may go unheard, so that a balancer must know for how long discovery could not be reached. */
+    /** An outage longer than the time within which balancers must learn of a change. */
     private static WatchCalls longOutage(int balancers) throws Exception {
         return play(balancers, LONG_OUTAGE, 5_000, DISCOVERY_BACK_SECOND + 14, 40, balancers);
     }
@@ -213,19 +214,19 @@
                         && calls.maxCallsPerSecond() <= 2 * MAX_WATCH_CALLS_PER_SECOND);
     }
 
-    /** All that is served meanwhile is served on a list that nobody can have had anew. */
+    /** Guards against refusing requests on the last known list when discovery reports overload instead of being unreachable. */
     @Test
     public void longOutageReportedAsBusyCostsNoService() throws Exception {
         for (int balancers : new int[] {5, 20, 100}) {
             WatchCalls calls = longOutage(balancers);
             assertEquals(List.of(), calls.broken());
             assertTrue(calls.toString(), calls.served() > 0.9);
-            // The wait of a call made just before the return, the decisions' pause, the window, and the answer.
+            // The wait of a call made just before the end of the outage, the pause, the call window and the answer.
             assertTrue(calls.toString(), calls.secondsUntilWatched(100) < 2 + 2 + 0.08 * balancers + 1);
         }
     }
 
-    /** Not a part of every build: {@code mvn -pl emulator -am test -Dtest=OverbookedDiscoveryTest -Dbaymoor.balancers=640}. */
+    /** Runs only when enabled: {@code mvn -pl emulator -am test -Dtest=OverbookedDiscoveryTest -Dbaymoor.balancers=640}. */
     @Test
     public void configuredNumberOfBalancers() throws Exception {
         int balancers = Integer.getInteger("baymoor.balancers", 0);
--- a/emulator/src/test/java/baymoor/emulator/virtual/PushedListsTest.java
+++ b/emulator/src/test/java/baymoor/emulator/virtual/PushedListsTest.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import org.junit.Test;
 
-/** A site whose lists are pushed to an agent beside each balancer. */
+/** Checks balancers whose lists are pushed by an agent next to each of them. */
 public class PushedListsTest {
 
     private static final String SCENARIO = """
@@ -52,7 +52,7 @@
         return result.broken().stream().map(b -> b.rule()).toList();
     }
 
-    /** What a balancer says to its agent never arrives. */
+    /** Drops requests of balancers to their agents. */
     private static FaultInjector dropAgentRequests() {
         return new FaultInjector() {
             @Override
--- a/emulator/src/test/java/baymoor/emulator/virtual/ReplayTest.java
+++ b/emulator/src/test/java/baymoor/emulator/virtual/ReplayTest.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import org.junit.Test;
 
-/** Every example plays through without a broken rule, and twice alike. */
+/** Checks that the example scenarios break no rule and that a run is determined by its seed. */
 public class ReplayTest {
 
     static final List<String> EXAMPLES = List.of(
@@ -103,7 +103,7 @@
 
     @Test
     public void requestsToAHostThatReturnedDuringABalancerRestartAreAllowed() throws Exception {
-        // As in the demo: all balancers are down when the list shows the drained routers again.
+        // All balancers are down when the list shows the drained routers again.
         StringBuilder text = new StringBuilder(
                 "warm_up = \"0s\"\nduration = \"9s\"\n[traffic]\nrate = \"60/s\"\n"
                         + "[[script]]\nat = \"4s\"\ndo = \"restart-balancers\"\nshare = \"100%\"\nwithin = \"1ms\"\nat_once = \"100%\"\n");
--- a/emulator/src/test/java/baymoor/emulator/virtual/ShuffledTest.java
+++ b/emulator/src/test/java/baymoor/emulator/virtual/ShuffledTest.java
@@ -15,9 +15,8 @@
 import org.junit.Test;
 
 /**
- * What is due at once in an order drawn from a seed, under the eyes of the judge: clients that leave, answers, time-outs,
- * lists, drains, ends of connections and planned restarts all fall on one grid of milliseconds, so that they cross all the
- * time.
+ * Guards against races: timeouts, answers, list updates, drains, closes and planned restarts are rounded to a common grid, and
+ * simultaneous events run in an order that depends on a seed.
  */
 public class ShuffledTest {
 
@@ -112,7 +111,7 @@
             for = "200ms"
             """;
 
-    /** Each third connection of a balancer's comes up 150 to 230 ms late, or is given up before. */
+    /** Delays about a third of the connections of balancers by 150 to 230 ms; they may be closed before. */
     private static final class DelayedDialer implements FaultInjector {
         private final Random random;
 
