--- a/emulator/src/main/java/baymoor/emulator/fabric/Fabric.java
+++ b/emulator/src/main/java/baymoor/emulator/fabric/Fabric.java
@@ -13,21 +13,21 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * What lies between the processes of a rehearsal: which zones hear each other, which datagrams get lost, and what that
- * came to. It is fed bytes and time and knows no socket. As in virtual time nothing passes and nothing is told between
- * zones that are cut off; once a cut is over, connections on which something was stuck are reset, the others go on.
+ * Injects network faults between the processes of a run on real sockets: zone partitions and lost or duplicated datagrams.
+ * It handles bytes and time only and opens no socket. Nothing crosses a cut, not even a close; when the cut ends,
+ * connections on which something was dropped are reset and the others continue.
  */
 public final class Fabric {
 
     /**
-     * What the faults did, so that a rehearsal can show that they were really there.
+     * Counts of injected faults.
      *
-     * @param bytesHeld        of connections, swallowed at a cut
-     * @param resets           connections that were reset when a cut was over
-     * @param datagrams        that came to the fabric
-     * @param datagramsLost    by chance
-     * @param datagramsCut     at a cut
-     * @param datagramsDoubled delivered twice
+     * @param bytesHeld bytes of connections dropped at a cut
+     * @param resets connections reset when a cut ended
+     * @param datagrams datagrams given to the fabric
+     * @param datagramsLost datagrams dropped at random
+     * @param datagramsCut datagrams dropped at a cut
+     * @param datagramsDoubled datagrams delivered twice
      */
     public record Counts(
             long bytesHeld,
@@ -39,10 +39,10 @@
 
     final Time time;
     private final Scenario.Net net;
-    private final UniformRandomProvider chance;
+    private final UniformRandomProvider random;
     private final ZoneCuts cuts;
-    private final Set<Wire> wires = new LinkedHashSet<>();
-    private double loss;
+    private final Set<FabricConnection> connections = new LinkedHashSet<>();
+    private double extraDatagramLoss;
     private long bytesHeld;
     private long resets;
     private long datagrams;
@@ -50,34 +50,34 @@
     private long datagramsCut;
     private long datagramsDoubled;
 
-    /** @param chance that decides on datagrams */
-    public Fabric(Scenario.Net net, int zones, Time time, UniformRandomProvider chance) {
+    /** @param random decides on the loss, duplication and delay of datagrams */
+    public Fabric(Scenario.Net net, int zones, Time time, UniformRandomProvider random) {
         this.net = net;
         this.time = time;
-        this.chance = chance;
+        this.random = random;
         cuts = new ZoneCuts(zones);
     }
 
-    /** Keeps what one zone says from another, the one way only, or lets it pass again. Cuts may overlap. */
+    /** Starts or ends a cut of one direction between two zones. Cuts may overlap. */
     public void cut(int from, int to, boolean cut) {
         cuts.cut(from, to, cut);
         if (!cut) {
-            healed();
+            cutEnded();
         }
     }
 
-    /** Cuts a zone off from all others, or joins it to them again. */
+    /** Starts or ends a cut between a zone and all others. */
     public void cut(int zone, boolean cut) {
         cuts.cutOff(zone, cut);
         if (!cut) {
-            healed();
+            cutEnded();
         }
     }
 
-    /** A cut has ended: connections that can pass again go on or are reset. */
-    private void healed() {
-        for (Wire wire : List.copyOf(wires)) {
-            wire.healed();
+    /** Resets connections that lost something and whose zones can reach each other again. */
+    private void cutEnded() {
+        for (FabricConnection connection : List.copyOf(connections)) {
+            connection.cutEnded();
         }
     }
 
@@ -85,65 +85,69 @@
         return cuts.isCut(from, to);
     }
 
-    /** Loses so large a share of the datagrams, beside what the scenario loses always. */
+    /** Sets a share of datagrams to lose; the larger of this and the loss of the scenario applies. */
     public void lose(double share) {
-        loss = share;
+        extraDatagramLoss = share;
     }
 
     /**
-     * Puts itself between a connection and the host that takes it.
+     * Interposes the fabric between a connection and the host that accepts it.
      *
-     * @param near zone of the process that opened it
-     * @param far  zone of the host
-     * @param host takes what it is shown as its connection; null to close it unheard
+     * @param openerZone zone of the process that opened the connection
+     * @param hostZone zone of the host
+     * @param host accepts the proxied connection, or returns null to close it
      */
-    public LinkEvents between(Link link, int near, int far, Function<Link, LinkEvents> host) {
-        Wire wire = new Wire(this, link, near, far);
-        wires.add(wire);
-        wire.accepted(host);
-        return wire;
+    public LinkEvents between(Link link, int openerZone, int hostZone, Function<Link, LinkEvents> host) {
+        FabricConnection connection = new FabricConnection(this, link, openerZone, hostZone);
+        connections.add(connection);
+        connection.accept(host);
+        return connection;
     }
 
-    /** Takes a datagram; {@code arrives} runs as often as it comes through, and when. */
-    public void datagram(int from, int to, Runnable arrives) {
+    /**
+     * Passes on a datagram.
+     *
+     * @param onArrival runs once for each copy that is delivered, at its time of arrival
+     */
+    public void datagram(int from, int to, Runnable onArrival) {
         datagrams++;
         if (isCut(from, to)) {
             datagramsCut++;
             return;
         }
-        if (Draw.chance(chance, Math.max(loss, net.datagramLoss()))) {
+        if (Draw.chance(random, Math.max(extraDatagramLoss, net.datagramLoss()))) {
             datagramsLost++;
             return;
         }
-        List<Long> copies = new ArrayList<>(List.of(Draw.within(chance, net.datagram())));
-        if (Draw.chance(chance, net.datagramDouble())) {
+        List<Long> copies = new ArrayList<>(List.of(Draw.within(random, net.datagram())));
+        if (Draw.chance(random, net.datagramDouble())) {
             datagramsDoubled++;
-            copies.add(Draw.within(chance, net.datagram()));
+            copies.add(Draw.within(random, net.datagram()));
         }
-        for (long after : copies) {
-            time.after(after, () -> {
+        for (long delayMicros : copies) {
+            time.after(delayMicros, () -> {
                 if (isCut(from, to)) {
                     datagramsCut++;
                 } else {
-                    arrives.run();
+                    onArrival.run();
                 }
             });
         }
     }
 
-    void held(int bytes) {
+    void countHeldBytes(int bytes) {
         bytesHeld += bytes;
     }
 
-    void reset() {
+    void countReset() {
         resets++;
     }
 
-    void over(Wire wire) {
-        wires.remove(wire);
+    void remove(FabricConnection connection) {
+        connections.remove(connection);
     }
 
-    /** What has passed and what was lost so far. */
+    /** Returns the counts so far. */
     public Counts counts() {
         return new Counts(bytesHeld, resets, datagrams, datagramsLost, datagramsCut, datagramsDoubled);
     }
--- a/emulator/src/test/java/baymoor/emulator/virtual/Through.java
+++ b/emulator/src/test/java/baymoor/emulator/virtual/ForwardingLink.java
@@ -2,11 +2,11 @@
 
 import baymoor.link.Link;
 
-/** Passes all on. */
-class Through implements Link {
+/** Forwards all calls to another link; tests override single methods. */
+class ForwardingLink implements Link {
     final Link real;
 
-    Through(Link real) {
+    ForwardingLink(Link real) {
         this.real = real;
     }
 
