--- a/balancer/src/main/java/merlinstep/KeyCounts.java
+++ b/balancer/src/main/java/merlinstep/KeyCounts.java
@@ -1,19 +1,29 @@
 package merlinstep;
 
-/** Count-min sketch of the requests per key, with two rows and decay by halving. */
+/**
+ * Estimates the share of each key among the requests by a count-min sketch with two rows, whose counts decay by
+ * halving.
+ */
 final class KeyCounts {
 
     private final int[] counters;
     private final int rowSize;
     private double total;
 
-    /** {@code rowSize} is a power of two. */
+    /**
+     * Creates a sketch without counts.
+     *
+     * @param rowSize number of counters per row; a power of two
+     */
     KeyCounts(int rowSize) {
         this.rowSize = rowSize;
         counters = new int[2 * rowSize];
     }
 
-    /** Counts a request and returns the estimated fraction of all requests that earlier ones for its key are. */
+    /**
+     * Counts a request and returns the estimated share of its key among all counted requests, this one excluded from
+     * the key's count.
+     */
     double add(long key) {
         long hash = Hash.mix(key ^ 0x5bd1e995L);
         int first = (int) (hash & rowSize - 1);
@@ -24,7 +34,7 @@
         return (Math.min(counters[first], counters[second]) - 1) / total;
     }
 
-    /** Returns the number of requests, after decay. */
+    /** Returns the decayed number of requests. */
     double total() {
         return total;
     }
--- a/balancer/src/main/java/merlinstep/simhost/SettingsParser.java
+++ b/balancer/src/main/java/merlinstep/simhost/SettingsParser.java
@@ -20,8 +20,8 @@
 import merlinstep.Decisions.Weights;
 
 /**
- * Parses the fields of an ATTACH line into the settings of an instance. Unknown fields are ignored, and an absent
- * optional field gets a default.
+ * Parses the fields of an ATTACH line into the settings of a decision-module instance. Unknown fields are ignored,
+ * and an absent optional field gets a default.
  */
 final class SettingsParser {
 
@@ -36,7 +36,8 @@
     }
 
     /**
-     * Returns the settings.
+     * Returns the settings. For "membership_mode", a list that has to be subscribed to is asked for, one that comes by
+     * itself is pushed.
      *
      * @throws MalformedLineException if a required field is missing or a number can't be parsed
      * @throws IllegalArgumentException if the settings are inconsistent
@@ -171,7 +172,7 @@
         return getLong(key, 0);
     }
 
-    /** Returns a number as a long; a fraction is truncated. */
+    /** Returns the field as a long, truncating any fraction. */
     private long getLong(String key, long defaultValue) {
         String value = fields.get(key);
         try {
@@ -200,7 +201,7 @@
         return value.isEmpty() ? List.of() : List.of(value.split(","));
     }
 
-    /** Returns the value whose name the field holds, or the default if it is absent or has another name. */
+    /** Returns the value that the field names, or the default if the field is absent or names neither value. */
     private <T> T getEnum(
             String key, T defaultValue, String firstName, T firstValue, String secondName, T secondValue) {
         String name = getString(key, "");
--- a/balancer/src/test/java/baymoor/dispatch/DispatcherTest.java
+++ b/balancer/src/test/java/baymoor/dispatch/DispatcherTest.java
@@ -46,7 +46,7 @@
     private final Dispatcher dispatcher;
     private final North north;
 
-    /** The decision module's actions on an event. */
+    /** Stands in for the decision module's reaction to an event. */
     private interface DecisionStub {
         void decide(Event event, Sink sink);
     }
@@ -189,7 +189,7 @@
                 delivered.stream().filter(e -> e instanceof Request).count());
     }
 
-    /** Guards against attempts and a refusal for a client that has closed, while its close event is still queued. */
+    /** While a disconnected client's close event is still queued, neither attempts nor a refusal are sent for it. */
     @Test
     public void requestOfAClosedConnectionIsDoneBeforeItsAttemptEndsThoughTheCloseEventIsPending() {
         stub = (event, sink) -> {
@@ -219,7 +219,7 @@
                         .toList());
     }
 
-    /** Guards against a repeat that waits for a connection and is sent after the hosts' deduplication window. */
+    /** A retry that waits for a connection is not sent after the routers' deduplication window. */
     @Test
     public void repeatIsSentOnlyWhileTheEffectOfTheClassAllowsIt() {
         stub = (event, sink) -> {
@@ -276,7 +276,7 @@
         assertEquals(1, counters.get(Count.REFUSED));
     }
 
-    /** Guards against retries that can't be sent either, while the client waits. */
+    /** Retries couldn't be sent either, so the client gets its answer at once. */
     @Test
     public void attemptOrderedWhileTheListIsStaleEndsTheRequest() {
         boolean[] listFresh = {true};
--- a/balancer/src/test/java/baymoor/inventory/CallPacingTest.java
+++ b/balancer/src/test/java/baymoor/inventory/CallPacingTest.java
@@ -32,7 +32,7 @@
         }
     }
 
-    /** Guards against simultaneous calls after a mass restart, in the first round and in all later ones. */
+    /** After a mass restart, calls are spread evenly in the first and every later round. */
     @Test
     public void simultaneousCallersAreSpacedEvenly() {
         for (int callers : TIER_SIZES) {
@@ -87,7 +87,7 @@
         assertEquals(first, pacing.windowMicros());
         pacing.recordOutcome(Outcome.REJECTED);
         pacing.discoveryRecovered();
-        assertEquals("one rejection", first << 1, pacing.windowMicros());
+        assertEquals("recovery keeps the backoff of one rejection", first << 1, pacing.windowMicros());
         pacing.recordOutcome(Outcome.REJECTED);
         pacing.recordOutcome(Outcome.REJECTED);
         pacing.discoveryRecovered();
@@ -96,7 +96,7 @@
         assertEquals("a failed connection resets the window", first, pacing.windowMicros());
     }
 
-    /** Guards against hedging calls that discovery has queued, which takes up to 3 s. */
+    /** Discovery may queue a call for up to 3 s; such a call must not be hedged before that. */
     @Test
     public void callThatMayBeQueuedIsHedgedLater() {
         assertEquals(2_000_000, new CallPacing(1, 0, 1).hedgeDelayMicros());
--- a/balancer/src/test/java/merlinstep/StyleTest.java
+++ b/balancer/src/test/java/merlinstep/StyleTest.java
@@ -12,7 +12,7 @@
 import java.util.regex.Pattern;
 import org.junit.jupiter.api.Test;
 
-/** The layout that the decision module keeps so that the operators can read and approve it. */
+/** Checks the source layout of the decision module. */
 class StyleTest {
 
     private static final Path RULES = Path.of("balancer/src/main/java/merlinstep/Rules.java");
--- a/emulator/src/main/java/baymoor/emulator/world/Router.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Router.java
@@ -30,12 +30,17 @@
 /**
  * Simulates a cache router as a state machine without I/O, driven by the bytes of its connections and by a clock.
  *
- * <p>It reproduces behavior of real servers that a balancer has to tolerate: closing a connection neither stops running
- * requests nor removes queued ones, a request past its deadline may still be started, a request answered with an error
- * may have taken effect, and answers may be corrupted.
+ * <p>It reproduces behavior of real servers that a balancer has to tolerate:
  *
- * <p>Not thread-safe: all calls come from the platform's event thread. Times are in microseconds of the platform's
- * clock, work is in microseconds of a core of speed 1.
+ * <ul>
+ *   <li>Closing a connection neither stops running requests nor removes queued ones.
+ *   <li>A request past its deadline may still be started.
+ *   <li>A request answered with an error may have taken effect.
+ *   <li>Answers may be corrupted.
+ * </ul>
+ *
+ * <p>Not thread-safe: all calls come from the simulation's event thread. Times are in microseconds of the simulation's
+ * clock, work is in CPU microseconds at speed 1.
  */
 public final class Router {
 
@@ -44,7 +49,7 @@
     private static final long FETCH_LEASE_MICROS = 500_000;
     private static final int MAX_FETCH_LEASES = 10_000;
     private static final int GARBAGE_BYTES = 48;
-    /** Factor on the overload budget of a cold router, so that random variation alone does not crash it. */
+    /** Tolerance factor on the cold-router overload budget; keeps random variation alone from crashing it. */
     private static final double BUDGET_MARGIN = 1.1;
 
     private static final byte[] BUSY = RespWriter.error("BUSY");
@@ -58,7 +63,13 @@
         DOWN
     }
 
-    /** Work received while cold; {@code startKnown}: its balancer had been told of the router's start. */
+    /**
+     * Records work received while cold.
+     *
+     * @param at time of receipt
+     * @param work the work received
+     * @param startKnown whether the sending balancer knew of the router's start
+     */
     private record ColdWork(long at, double work, boolean startKnown) {}
 
     private final String name;
@@ -153,12 +164,12 @@
         return state;
     }
 
-    /** Returns the time of the last start, or 0 if it was running before the run began. */
+    /** Returns when the router last started; 0 if it is down, or has been up since before the simulation began. */
     public long startedAt() {
         return startedAt;
     }
 
-    /** Returns the nominal capacity, without this router's own deviation in speed: work per microsecond. */
+    /** Returns the capacity at the kind's nominal speed, in work per microsecond. */
     public double ratedCapacity() {
         return kind.cores() * kind.speed();
     }
@@ -179,7 +190,7 @@
     /**
      * Starts the process.
      *
-     * @param startedAtMicros time of the start, after which the router is cold and its cache empty; 0 if it is warm
+     * @param startedAtMicros time of the start for a router that starts cold, with an empty cache; 0 if it starts warm
      */
     public void start(long startedAtMicros) {
         incarnation++;
@@ -196,7 +207,7 @@
         scheduleIdleCheck(incarnation);
     }
 
-    /** Ends the process: loses all state and closes all connections. The caller stops listening on its behalf. */
+    /** Ends the process: loses all state and closes all connections. The caller must close the listening socket. */
     public void stop() {
         incarnation++;
         state = State.DOWN;
@@ -277,7 +288,7 @@
         });
     }
 
-    /** Returns the current share of the warm capacity, from the kind's cold share up to 1. */
+    /** Returns the current capacity as a fraction of the warm capacity, from {@code coldShare} to 1. */
     public double warmUpFactor() {
         if (warmUpEndsAt <= time.now() && !kind.warmsByWork() || warmUpMicros == 0) {
             return 1;
@@ -388,7 +399,7 @@
         }
     }
 
-    /** A connection of a balancer, over which requests may be pipelined. */
+    /** Serves a connection from a balancer, over which requests may be pipelined. */
     private final class Connection extends Conversation {
         private final Link link;
         private final int balancer;
--- a/tier/src/test/java/baymoor/tier/split/RobustRateTest.java
+++ b/tier/src/test/java/baymoor/tier/split/RobustRateTest.java
@@ -6,6 +6,7 @@
 import baymoor.tier.split.RobustRate.Estimate;
 import java.util.ArrayList;
 import java.util.List;
+import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
@@ -30,7 +31,8 @@
         assertTrue("" + rate, rate >= 100 && rate <= 106);
     }
 
-    @net.jqwik.api.Example
+    /** A rate of 0 means unknown. */
+    @Example
     void weightsEstimatesByMembersAndIgnoresUnknownRates() {
         assertEquals(50, RobustRate.of(List.of(new Estimate(50, 10), new Estimate(10, 4), new Estimate(10, 5))), 0);
         assertEquals(10, RobustRate.of(List.of(new Estimate(0, 100), new Estimate(10, 1))), 0);
--- a/tier/src/test/java/merlinstep/FullMesh.java
+++ b/tier/src/test/java/merlinstep/FullMesh.java
@@ -37,8 +37,9 @@
 import merlinstep.Decisions.Weights;
 
 /**
- * A tier of decision modules in virtual time that exchange states in a full mesh, for comparison with the exchange in
- * groups. Requests hit a router or miss; the origin answers quickly up to its capacity.
+ * Simulates a tier of decision modules in virtual time that send their state to every peer; the baseline for the
+ * exchange in groups. A request is a hit or a miss at a router; the origin answers fast up to its capacity and slowly
+ * above it.
  */
 public final class FullMesh {
 
@@ -67,7 +68,7 @@
     public final Network network;
     public long now = 1_000 * SECOND;
     public long fetchedInSecond;
-    /** CPU time of handling peer messages and ticks. */
+    /** Elapsed time of handling peer messages and ticks. */
     public long controlNanos;
 
     private final Node[] nodes;
@@ -113,7 +114,7 @@
         nodes[balancer].missesPerSecond = perSecond;
     }
 
-    /** Returns the highest allowance that a running balancer applies. */
+    /** Returns the largest origin allowance in effect at any running balancer. */
     public double allowance() {
         double most = 0;
         for (Node node : nodes) {
@@ -122,7 +123,11 @@
         return most;
     }
 
-    /** Returns the age in seconds of one balancer's state at another; NaN if it has received none. */
+    /**
+     * Returns the age of one balancer's state at another.
+     *
+     * @return seconds; NaN if no state has been received
+     */
     public double age(int of, int at) {
         long sent = nodes[at].heardSentMicros[of];
         return sent == 0 ? Double.NaN : (now - sent) / (double) SECOND;
@@ -175,7 +180,7 @@
         }
     }
 
-    /** Advances the time in whole steps. */
+    /** Advances virtual time by {@code micros}, rounded up to whole steps. */
     public void pass(long micros) {
         for (long end = now + micros; now < end; ) {
             now += STEP_MICROS;
@@ -213,6 +218,7 @@
 
     private void arrive(int balancer, String kind, double perSecond) {
         double mean = perSecond * STEP_MICROS / SECOND;
+        // Knuth's Poisson sampling.
         for (double p = random.nextDouble(); p > Math.exp(-mean); p *= random.nextDouble()) {
             event(
                     balancer,
@@ -230,7 +236,7 @@
         }
     }
 
-    /** Returns the mean fraction of a core that each balancer uses for peer messages and ticks. */
+    /** Returns the elapsed time per balancer of handling peer messages and ticks, as a fraction of {@code seconds}. */
     public double controlShare(double seconds) {
         return controlNanos / NANOS / seconds / nodes.length;
     }
