--- a/balancer/src/main/java/merlinstep/KeyCounts.java
+++ b/balancer/src/main/java/merlinstep/KeyCounts.java
@@ -6,6 +6,9 @@
  */
 final class KeyCounts {
 
+    private static final int ROWS = 2;
+    private static final long KEY_SALT = 0x5bd1e995L;
+
     private final int[] counters;
     private final int rowSize;
     private double total;
@@ -17,7 +20,7 @@
      */
     KeyCounts(int rowSize) {
         this.rowSize = rowSize;
-        counters = new int[2 * rowSize];
+        counters = new int[ROWS * rowSize];
     }
 
     /**
@@ -25,7 +28,7 @@
      * the key's count.
      */
     double add(long key) {
-        long hash = Hash.mix(key ^ 0x5bd1e995L);
+        long hash = Hash.mix(key ^ KEY_SALT);
         int first = (int) (hash & rowSize - 1);
         int second = rowSize + (int) (hash >>> 20 & rowSize - 1);
         counters[first]++;
--- a/balancer/src/test/java/baymoor/dispatch/DispatcherTest.java
+++ b/balancer/src/test/java/baymoor/dispatch/DispatcherTest.java
@@ -92,8 +92,8 @@
         client.events = north.client(client);
     }
 
-    private static RequestClass requestClass(String name, Effect effect, long windowMicros) {
-        return new RequestClass(name, 500_000, 0, 900_000, effect, Group.ALL, windowMicros, 1, 0, false);
+    private static RequestClass requestClass(String name, Effect effect, long dedupWindowMicros) {
+        return new RequestClass(name, 500_000, 0, 900_000, effect, Group.ALL, dedupWindowMicros, 1, 0, false);
     }
 
     private String attemptEnds() {
@@ -142,7 +142,7 @@
     }
 
     @Test
-    public void requestIsAnsweredOnlyOnceWhateverTheActions() {
+    public void requestIsAnsweredOnlyOnce() {
         stub = (event, sink) -> {
             if (event instanceof Request r) {
                 sink.accept(new Refuse(r.id(), 0));
@@ -171,7 +171,7 @@
     }
 
     @Test
-    public void attemptIsNotSentWhenTheClientHasClosedButTheCloseEventIsPending() {
+    public void attemptIsNotSentForDisconnectedClientBeforeCloseEvent() {
         stub = (event, sink) -> {
             if (event instanceof Request r) {
                 client.over = true;
@@ -191,7 +191,7 @@
 
     /** While a disconnected client's close event is still queued, neither attempts nor a refusal are sent for it. */
     @Test
-    public void requestOfAClosedConnectionIsDoneBeforeItsAttemptEndsThoughTheCloseEventIsPending() {
+    public void attemptEndOfDisconnectedClientIsDone() {
         stub = (event, sink) -> {
             if (event instanceof Request r) {
                 sink.accept(new Send(r.id(), 1, 0));
@@ -221,7 +221,7 @@
 
     /** A retry that waits for a connection is not sent after the routers' deduplication window. */
     @Test
-    public void repeatIsSentOnlyWhileTheEffectOfTheClassAllowsIt() {
+    public void retryIsSentOnlyIfItsClassAllowsIt() {
         stub = (event, sink) -> {
             if (event instanceof Request r) {
                 sink.accept(new Send(r.id(), 1, 0));
@@ -252,7 +252,7 @@
     }
 
     @Test
-    public void exceptionInTheDecisionsIsAnsweredCountedAndSurvived() {
+    public void decisionExceptionFailsTheRequestAndIsCounted() {
         stub = (event, sink) -> {
             throw new IllegalStateException("thrown by the test");
         };
@@ -278,7 +278,7 @@
 
     /** Retries couldn't be sent either, so the client gets its answer at once. */
     @Test
-    public void attemptOrderedWhileTheListIsStaleEndsTheRequest() {
+    public void attemptRequestedWhileTheListIsStaleEndsTheRequest() {
         boolean[] listFresh = {true};
         dispatcher.setListFreshnessCheck(() -> listFresh[0]);
         stub = (event, sink) -> {
--- a/balancer/src/test/java/baymoor/inventory/CallPacingTest.java
+++ b/balancer/src/test/java/baymoor/inventory/CallPacingTest.java
@@ -67,14 +67,14 @@
     }
 
     @Test
-    public void initialWindowIsProportionalToTheTier() {
+    public void initialWindowGrowsWithTierSize() {
         for (int callers : TIER_SIZES) {
             assertEquals((callers - 1) * 20_000L, new CallPacing(callers, 0, 1).windowMicros());
         }
     }
 
     @Test
-    public void rejectionsDoubleTheWindowUpToABoundAndAnAnswerResetsIt() {
+    public void windowFollowsCallOutcomesAndRecovery() {
         CallPacing pacing = new CallPacing(100, 3, 1);
         long first = pacing.windowMicros();
         for (int doublings : new int[] {1, 2, 3, 3, 3}) {
--- a/balancer/src/test/java/merlinstep/StyleTest.java
+++ b/balancer/src/test/java/merlinstep/StyleTest.java
@@ -20,25 +20,25 @@
     private static final Pattern FILES_ATTRIBUTE = Pattern.compile("files=\"([^\"]+)\"");
 
     @Test
-    void theFormatterCoversTheModule() throws IOException {
+    void formatterIncludesTheModule() throws IOException {
         String pom = Files.readString(Path.of("pom.xml"));
-        int formatter = pom.indexOf("<artifactId>spotless-maven-plugin</artifactId>");
-        assertTrue(formatter >= 0, "no formatter in pom.xml");
-        String configuration = pom.substring(formatter, pom.indexOf("</plugin>", formatter));
+        int formatterIndex = pom.indexOf("<artifactId>spotless-maven-plugin</artifactId>");
+        assertTrue(formatterIndex >= 0, "no formatter in pom.xml");
+        String configuration = pom.substring(formatterIndex, pom.indexOf("</plugin>", formatterIndex));
         assertTrue(configuration.contains("<include>src/main/java/**/*.java</include>"), configuration);
         assertFalse(configuration.contains("<exclude>"), configuration);
     }
 
     @Test
-    void theLinterCoversTheModule() throws IOException {
+    void noSuppressionDisablesAllChecksForRules() throws IOException {
         String suppressions = Files.readString(Path.of("checkstyle-suppressions.xml"));
-        List<String> suppressingAll = SUPPRESS_ELEMENT
+        List<String> blanketSuppressions = SUPPRESS_ELEMENT
                 .matcher(suppressions)
                 .results()
                 .map(MatchResult::group)
                 .filter(element -> element.contains("checks=\".\"") && matchesRules(element))
                 .toList();
-        assertTrue(suppressingAll.isEmpty(), suppressingAll.toString());
+        assertTrue(blanketSuppressions.isEmpty(), blanketSuppressions.toString());
     }
 
     private static boolean matchesRules(String element) {
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void itsLinesStayShort() throws IOException {
+    void linesHaveAtMost110Characters() throws IOException {
         List<String> tooLong = Files.readAllLines(RULES).stream()
                 .filter(line -> line.length() > 110)
                 .toList();
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void itsTopNamesTheInterface() throws IOException {
+    void headerNamesTheDecisionsInterface() throws IOException {
         assertTrue(Files.readAllLines(RULES).stream().limit(25).anyMatch(line -> line.contains("Decisions.java")));
     }
 }
--- a/emulator/src/main/java/baymoor/emulator/world/Router.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Router.java
@@ -293,12 +293,12 @@
         if (warmUpEndsAt <= time.now() && !kind.warmsByWork() || warmUpMicros == 0) {
             return 1;
         }
-        double part = 1 - (double) (warmUpEndsAt - time.now()) / warmUpMicros;
+        double progress = 1 - (double) (warmUpEndsAt - time.now()) / warmUpMicros;
         if (kind.warmsByWork()) {
             double needed = capacity() * warmUpMicros / 2;
-            part = Math.max(part, (server.completedWork() - workDoneAtStart) / needed);
+            progress = Math.max(progress, (server.completedWork() - workDoneAtStart) / needed);
         }
-        return Math.min(1, kind.coldShare() + (1 - kind.coldShare()) * Math.max(0, part));
+        return Math.min(1, kind.coldShare() + (1 - kind.coldShare()) * Math.max(0, progress));
     }
 
     /** Returns whether the router has started during the run and is still warming up. */
@@ -533,9 +533,9 @@
         private void writeFaulty(PendingAnswer pendingAnswer) {
             switch (answerFault) {
                 case GARBLE -> {
-                    byte[] garbage = new byte[GARBAGE_BYTES];
-                    random.nextBytes(garbage);
-                    link.write(garbage);
+                    byte[] randomBytes = new byte[GARBAGE_BYTES];
+                    random.nextBytes(randomBytes);
+                    link.write(randomBytes);
                 }
                 case CUT_SHORT ->
                     link.write(java.util.Arrays.copyOf(
--- a/tier/src/test/java/baymoor/tier/simulation/ScaleComparison.java
+++ b/tier/src/test/java/baymoor/tier/simulation/ScaleComparison.java
@@ -169,16 +169,16 @@
                 mesh.network.resetCounts();
                 mesh.controlNanos = 0;
             }
-            mesh.fetchedInSecond = 0;
+            mesh.fetchesThisSecond = 0;
             mesh.pass(SECOND);
             double allowance = mesh.allowance();
             if (second >= SETTLING_SECONDS) {
                 for (int pair = 0; pair < SAMPLED_PAIRS / MEASURED_SECONDS; pair++) {
                     int subject = random.nextInt(balancers);
                     int observer = random.nextInt(balancers);
-                    ages.add(subject == observer ? Double.NaN : mesh.age(subject, observer));
+                    ages.add(subject == observer ? Double.NaN : mesh.stateAge(subject, observer));
                 }
-                double usedFraction = mesh.fetchedInSecond / Math.max(previousAllowance, allowance);
+                double usedFraction = mesh.fetchesThisSecond / Math.max(previousAllowance, allowance);
                 maxUse = Math.max(maxUse, usedFraction);
                 meanUse += usedFraction / MEASURED_SECONDS;
             }
--- a/tier/src/test/java/baymoor/tier/split/RobustRateTest.java
+++ b/tier/src/test/java/baymoor/tier/split/RobustRateTest.java
@@ -17,14 +17,14 @@
 
     @Property(seed = SEED, tries = 300)
     void minorityCannotMoveMedianOutsideMajorityRange(
-            @ForAll @IntRange(min = 1, max = 350) int correct,
-            @ForAll @IntRange(min = 0, max = 349) int faulty,
+            @ForAll @IntRange(min = 1, max = 350) int correctCount,
+            @ForAll @IntRange(min = 0, max = 349) int maxFaultyCount,
             @ForAll double outlier) {
         List<Estimate> estimates = new ArrayList<>();
-        for (int i = 0; i < correct; i++) {
+        for (int i = 0; i < correctCount; i++) {
             estimates.add(new Estimate(100 + i % 7, 1));
         }
-        for (int i = 0; i < Math.min(faulty, correct - 1); i++) {
+        for (int i = 0; i < Math.min(maxFaultyCount, correctCount - 1); i++) {
             estimates.add(new Estimate(Math.abs(outlier) + 1, 1));
         }
         double rate = RobustRate.of(estimates);
@@ -33,7 +33,7 @@
 
     /** A rate of 0 means unknown. */
     @Example
-    void weightsEstimatesByMembersAndIgnoresUnknownRates() {
+    void weightsEstimatesByMemberCountAndIgnoresUnknownRates() {
         assertEquals(50, RobustRate.of(List.of(new Estimate(50, 10), new Estimate(10, 4), new Estimate(10, 5))), 0);
         assertEquals(10, RobustRate.of(List.of(new Estimate(0, 100), new Estimate(10, 1))), 0);
         assertEquals(0, RobustRate.of(List.of(new Estimate(0, 100))), 0);
--- a/tier/src/test/java/merlinstep/FullMesh.java
+++ b/tier/src/test/java/merlinstep/FullMesh.java
@@ -47,9 +47,9 @@
     private static final long ORIGIN = 99_999;
     private static final long STEP_MICROS = 10_000;
     private static final long HIT_MICROS = 350_000;
-    private static final long STORE_MICROS = 100_000;
-    private static final long LATE_STORE_MICROS = 1_200_000;
-    private static final double NANOS = 1e9;
+    private static final long ORIGIN_MICROS = 100_000;
+    private static final long LATE_ORIGIN_MICROS = 1_200_000;
+    private static final double NANOS_PER_SECOND = 1e9;
 
     private record Scheduled(long at, long number, Runnable task) {}
 
@@ -58,16 +58,16 @@
         long timerAt = Long.MAX_VALUE;
         boolean down;
         double missesPerSecond;
-        final long[] heardSentMicros;
+        final long[] lastSendTimeMicros;
 
         Node(int balancers) {
-            heardSentMicros = new long[balancers];
+            lastSendTimeMicros = new long[balancers];
         }
     }
 
     public final Network network;
     public long now = 1_000 * SECOND;
-    public long fetchedInSecond;
+    public long fetchesThisSecond;
     /** Elapsed time of handling peer messages and ticks. */
     public long controlNanos;
 
@@ -77,14 +77,14 @@
     private final Random random;
     private final int routers;
     private final double hitsPerSecond;
-    private final double storePerSecond;
+    private final double originPerSecond;
     private long nextNumber;
-    private long fetchedBefore;
+    private long fetchesPreviousSecond;
 
-    public FullMesh(Places places, int routers, double hitsPerSecond, double storePerSecond, long seed) {
+    public FullMesh(Places places, int routers, double hitsPerSecond, double originPerSecond, long seed) {
         this.routers = routers;
         this.hitsPerSecond = hitsPerSecond;
-        this.storePerSecond = storePerSecond;
+        this.originPerSecond = originPerSecond;
         random = new Random(seed);
         network = new Network(places, seed + 1);
         nodes = new Node[places.balancers()];
@@ -97,7 +97,7 @@
     public void start(int balancer) {
         Node node = nodes[balancer];
         node.down = false;
-        node.rules = new Rules(settings(balancer, nodes.length, storePerSecond));
+        node.rules = new Rules(settings(balancer, nodes.length, originPerSecond));
         List<Server> servers = new ArrayList<>();
         for (int i = 1; i <= routers; i++) {
             servers.add(new Server(i, 1, "plain", State.RUNNING, "here", 0, i / 3));
@@ -128,8 +128,8 @@
      *
      * @return seconds; NaN if no state has been received
      */
-    public double age(int of, int at) {
-        long sent = nodes[at].heardSentMicros[of];
+    public double stateAge(int sender, int receiver) {
+        long sent = nodes[receiver].lastSendTimeMicros[sender];
         return sent == 0 ? Double.NaN : (now - sent) / (double) SECOND;
     }
 
@@ -141,11 +141,11 @@
         node.rules.decide(now, event, actions::add);
         controlNanos += control ? System.nanoTime() - before : 0;
         for (Action action : actions) {
-            act(balancer, node, action);
+            execute(balancer, node, action);
         }
     }
 
-    private void act(int balancer, Node node, Action action) {
+    private void execute(int balancer, Node node, Action action) {
         if (action instanceof SetTimer timer) {
             node.timerAt = now + timer.delayMicros();
         } else if (action instanceof TellPeer message) {
@@ -155,8 +155,8 @@
                 }
             }
         } else if (action instanceof Send send && send.server() == ORIGIN) {
-            fetchedInSecond++;
-            long micros = fetchedBefore > storePerSecond ? LATE_STORE_MICROS : STORE_MICROS;
+            fetchesThisSecond++;
+            long micros = fetchesPreviousSecond > originPerSecond ? LATE_ORIGIN_MICROS : ORIGIN_MICROS;
             schedule(micros, () -> end(balancer, node.rules, send, Outcome.SERVED, micros));
         } else if (action instanceof Send send) {
             boolean hit = send.request().startsWith("h");
@@ -194,7 +194,7 @@
                 }
             }
             if (now % SECOND == 0) {
-                fetchedBefore = fetchedInSecond;
+                fetchesPreviousSecond = fetchesThisSecond;
             }
         }
     }
@@ -202,7 +202,7 @@
     private void receive(int from, int to, byte[] datagram) {
         if (!nodes[to].down) {
             // The state is as old as the message's delay.
-            nodes[to].heardSentMicros[from] = now - network.delayMicros(from, to);
+            nodes[to].lastSendTimeMicros[from] = now - network.delayMicros(from, to);
             event(to, new PeerMessage(from, datagram));
         }
     }
@@ -212,14 +212,14 @@
             node.timerAt = Long.MAX_VALUE;
             event(balancer, new TimerFired(1));
         }
-        arrive(balancer, "h", hitsPerSecond);
-        arrive(balancer, "m", node.missesPerSecond);
+        generateRequests(balancer, "h", hitsPerSecond);
+        generateRequests(balancer, "m", node.missesPerSecond);
     }
 
-    private void arrive(int balancer, String kind, double perSecond) {
+    private void generateRequests(int balancer, String kind, double perSecond) {
         double mean = perSecond * STEP_MICROS / SECOND;
         // Knuth's Poisson sampling.
-        for (double p = random.nextDouble(); p > Math.exp(-mean); p *= random.nextDouble()) {
+        for (double product = random.nextDouble(); product > Math.exp(-mean); product *= random.nextDouble()) {
             event(
                     balancer,
                     new Request(
@@ -238,10 +238,10 @@
 
     /** Returns the elapsed time per balancer of handling peer messages and ticks, as a fraction of {@code seconds}. */
     public double controlShare(double seconds) {
-        return controlNanos / NANOS / seconds / nodes.length;
+        return controlNanos / NANOS_PER_SECOND / seconds / nodes.length;
     }
 
-    private static Settings settings(int index, int balancers, double storePerSecond) {
+    private static Settings settings(int index, int balancers, double originPerSecond) {
         List<RequestClass> classes =
                 List.of(new RequestClass("read", 800_000, 0, 1_500_000, Effect.SAFE, Group.ALL, 0, 2, 0, false));
         return new Settings(
@@ -254,7 +254,7 @@
                 List.of("tier"),
                 0,
                 classes,
-                List.of(new Tenant("t", 1, 4 * storePerSecond)),
+                List.of(new Tenant("t", 1, 4 * originPerSecond)),
                 Membership.PUSH,
                 new Origin(Mode.ASIDE, 1, 3, 3 * SECOND),
                 new Limits(6, 20_000, false, true, false, true, true, 2 * SECOND, 150_000, 30 * SECOND, 1, 0, 0),
