--- a/balancer/src/test/java/baymoor/dispatch/DispatcherTest.java
+++ b/balancer/src/test/java/baymoor/dispatch/DispatcherTest.java
@@ -46,7 +46,7 @@
     private final Dispatcher dispatcher;
     private final North north;
 
-    /** The decision module's actions on an event. */
+    /** Stands in for the decision module's reaction to an event. */
     private interface DecisionStub {
         void decide(Event event, Sink sink);
     }
@@ -92,8 +92,8 @@
         client.events = north.client(client);
     }
 
-    private static RequestClass requestClass(String name, Effect effect, long windowMicros) {
-        return new RequestClass(name, 500_000, 0, 900_000, effect, Group.ALL, windowMicros, 1, 0, false);
+    private static RequestClass requestClass(String name, Effect effect, long dedupWindowMicros) {
+        return new RequestClass(name, 500_000, 0, 900_000, effect, Group.ALL, dedupWindowMicros, 1, 0, false);
     }
 
     private String attemptEnds() {
@@ -142,7 +142,7 @@
     }
 
     @Test
-    public void requestIsAnsweredOnlyOnceWhateverTheActions() {
+    public void requestIsAnsweredOnlyOnce() {
         stub = (event, sink) -> {
             if (event instanceof Request r) {
                 sink.accept(new Refuse(r.id(), 0));
@@ -171,7 +171,7 @@
     }
 
     @Test
-    public void attemptIsNotSentWhenTheClientHasClosedButTheCloseEventIsPending() {
+    public void attemptIsNotSentForDisconnectedClientBeforeCloseEvent() {
         stub = (event, sink) -> {
             if (event instanceof Request r) {
                 client.over = true;
@@ -189,9 +189,9 @@
                 delivered.stream().filter(e -> e instanceof Request).count());
     }
 
-    /** Guards against attempts and a refusal for a client that has closed, while its close event is still queued. */
+    /** While a disconnected client's close event is still queued, neither attempts nor a refusal are sent for it. */
     @Test
-    public void requestOfAClosedConnectionIsDoneBeforeItsAttemptEndsThoughTheCloseEventIsPending() {
+    public void attemptEndOfDisconnectedClientIsDone() {
         stub = (event, sink) -> {
             if (event instanceof Request r) {
                 sink.accept(new Send(r.id(), 1, 0));
@@ -219,9 +219,9 @@
                         .toList());
     }
 
-    /** Guards against a repeat that waits for a connection and is sent after the hosts' deduplication window. */
+    /** A retry that waits for a connection is not sent after the routers' deduplication window. */
     @Test
-    public void repeatIsSentOnlyWhileTheEffectOfTheClassAllowsIt() {
+    public void retryIsSentOnlyIfItsClassAllowsIt() {
         stub = (event, sink) -> {
             if (event instanceof Request r) {
                 sink.accept(new Send(r.id(), 1, 0));
@@ -252,7 +252,7 @@
     }
 
     @Test
-    public void exceptionInTheDecisionsIsAnsweredCountedAndSurvived() {
+    public void decisionExceptionFailsTheRequestAndIsCounted() {
         stub = (event, sink) -> {
             throw new IllegalStateException("thrown by the test");
         };
@@ -276,9 +276,9 @@
         assertEquals(1, counters.get(Count.REFUSED));
     }
 
-    /** Guards against retries that can't be sent either, while the client waits. */
+    /** Retries couldn't be sent either, so the client gets its answer at once. */
     @Test
-    public void attemptOrderedWhileTheListIsStaleEndsTheRequest() {
+    public void attemptRequestedWhileTheListIsStaleEndsTheRequest() {
         boolean[] listFresh = {true};
         dispatcher.setListFreshnessCheck(() -> listFresh[0]);
         stub = (event, sink) -> {
