--- a/balancer/src/test/java/merlinstep/ColdRampTest.java
+++ b/balancer/src/test/java/merlinstep/ColdRampTest.java
@@ -140,8 +140,8 @@
                 tier.set(i, start(i, balancers, started));
             }
         }
-        for (Timeline t : tier) {
-            t.list(ListKind.CHANGES, coldCaches);
+        for (Timeline timeline : tier) {
+            timeline.list(ListKind.CHANGES, coldCaches);
         }
         run(3, 1);
         run(2, newFault == Fault.BURST ? 5 : 1);
@@ -150,9 +150,9 @@
     }
 
     private static Timeline start(int index, int balancers, long at) {
-        Timeline t = new Timeline(Timeline.withRules(Timeline.settings(index, balancers, 6), RULES), at);
-        t.list(ListKind.LAST_KNOWN, Timeline.servers(CACHES));
-        return t;
+        Timeline timeline = new Timeline(Timeline.withRules(Timeline.settings(index, balancers, 6), RULES), at);
+        timeline.list(ListKind.LAST_KNOWN, Timeline.servers(CACHES));
+        return timeline;
     }
 
     private void run(int seconds, double factor) {
--- a/balancer/src/test/java/merlinstep/RulesTest.java
+++ b/balancer/src/test/java/merlinstep/RulesTest.java
@@ -41,13 +41,13 @@
 /** Tests the decision module with events in virtual time. */
 class RulesTest {
 
-    private static Map<Long, Long> owners(Timeline t, int keys) {
+    private static Map<Long, Long> owners(Timeline timeline, int keys) {
         Map<Long, Long> owners = new HashMap<>();
         for (long key = 0; key < keys; key++) {
             long hashed = Hash.mix(key + 1);
-            Send send = onlySend(t.read("k" + key + "-" + t.actions.size(), hashed));
+            Send send = onlySend(timeline.read("k" + key + "-" + timeline.actions.size(), hashed));
             owners.put(key, send.server());
-            t.end(send, Outcome.SERVED);
+            timeline.end(send, Outcome.SERVED);
         }
         return owners;
     }
@@ -62,10 +62,10 @@
 
     @Test
     void onlyKeysOfARemovedCacheMove() {
-        Timeline t = Timeline.with(0, 1, 10);
-        Map<Long, Long> before = owners(t, 1_000);
-        t.list(ListKind.CHANGES, List.of(cache(3, State.GONE, 0)));
-        Map<Long, Long> after = owners(t, 1_000);
+        Timeline timeline = Timeline.with(0, 1, 10);
+        Map<Long, Long> before = owners(timeline, 1_000);
+        timeline.list(ListKind.CHANGES, List.of(cache(3, State.GONE, 0)));
+        Map<Long, Long> after = owners(timeline, 1_000);
         before.forEach((key, owner) -> {
             if (owner != 3) {
                 assertEquals(owner, after.get(key));
@@ -77,16 +77,16 @@
 
     @Test
     void aDrainingCacheGetsNoRequests() {
-        Timeline t = Timeline.with(0, 1, 4);
-        t.list(ListKind.CHANGES, List.of(cache(2, State.DRAINING, 0)));
-        assertTrue(owners(t, 500).values().stream().noneMatch(c -> c == 2));
+        Timeline timeline = Timeline.with(0, 1, 4);
+        timeline.list(ListKind.CHANGES, List.of(cache(2, State.DRAINING, 0)));
+        assertTrue(owners(timeline, 500).values().stream().noneMatch(c -> c == 2));
     }
 
     @Test
     void aCacheMissingFromAWholeListIsRemoved() {
-        Timeline t = Timeline.with(0, 1, 4);
-        t.list(ListKind.WHOLE, servers(3));
-        assertTrue(owners(t, 500).values().stream().noneMatch(c -> c == 4));
+        Timeline timeline = Timeline.with(0, 1, 4);
+        timeline.list(ListKind.WHOLE, servers(3));
+        assertTrue(owners(timeline, 500).values().stream().noneMatch(c -> c == 4));
     }
 
     @Test
@@ -96,112 +96,116 @@
 
     @Test
     void aColdCacheGetsFewerSlots() {
-        Timeline t = Timeline.with(0, 1, 4);
-        owners(t, 200);
-        t.list(ListKind.CHANGES, List.of(cache(4, State.RUNNING, t.now)));
-        long cold = owners(t, 1_000).values().stream().filter(c -> c == 4).count();
-        t.pass(20 * SECOND);
-        long warm = owners(t, 1_000).values().stream().filter(c -> c == 4).count();
+        Timeline timeline = Timeline.with(0, 1, 4);
+        owners(timeline, 200);
+        timeline.list(ListKind.CHANGES, List.of(cache(4, State.RUNNING, timeline.now)));
+        long cold =
+                owners(timeline, 1_000).values().stream().filter(c -> c == 4).count();
+        timeline.pass(20 * SECOND);
+        long warm =
+                owners(timeline, 1_000).values().stream().filter(c -> c == 4).count();
         assertTrue(cold * 2 < warm, cold + " cold, " + warm + " warm");
     }
 
     @Test
     void concurrentMissesOfAKeyShareOneFetch() {
-        Timeline t = Timeline.with(0, 1, 3);
-        Send first = onlySend(t.read("a", 7));
-        Send second = onlySend(t.read("b", 7));
-        Send fetch = onlySend(t.end(first, Outcome.MISS));
+        Timeline timeline = Timeline.with(0, 1, 3);
+        Send first = onlySend(timeline.read("a", 7));
+        Send second = onlySend(timeline.read("b", 7));
+        Send fetch = onlySend(timeline.end(first, Outcome.MISS));
         assertEquals(ORIGIN, fetch.server());
-        assertEquals(List.of(), sends(t.end(second, Outcome.MISS)));
-        Send again = onlySend(t.end(fetch, Outcome.SERVED));
+        assertEquals(List.of(), sends(timeline.end(second, Outcome.MISS)));
+        Send again = onlySend(timeline.end(fetch, Outcome.SERVED));
         assertEquals("b", again.request());
         assertEquals(first.server(), again.server());
     }
 
     @Test
     void aFailedFetchIsRetried() {
-        Timeline t = Timeline.with(0, 1, 3);
-        Send ask = onlySend(t.read("a", 7));
-        Send fetch = onlySend(t.end(ask, Outcome.MISS));
-        List<Action> after = new ArrayList<>(t.end(fetch, Outcome.FULL));
-        after.addAll(t.pass(200_000));
+        Timeline timeline = Timeline.with(0, 1, 3);
+        Send ask = onlySend(timeline.read("a", 7));
+        Send fetch = onlySend(timeline.end(ask, Outcome.MISS));
+        List<Action> after = new ArrayList<>(timeline.end(fetch, Outcome.FULL));
+        after.addAll(timeline.pass(200_000));
         assertTrue(sends(after).stream().anyMatch(s -> s.server() == ORIGIN), after.toString());
     }
 
     @Test
     void withoutAnOriginMissesAreHeldAndRefusedInTime() {
-        Timeline t = new Timeline(Timeline.settings(0, 1, 6), 0);
-        t.list(ListKind.LAST_KNOWN, List.of(cache(1, State.RUNNING, 0)));
-        Send ask = onlySend(t.read("a", 7));
-        assertEquals(List.of(), sends(t.end(ask, Outcome.MISS)));
-        assertEquals(1, of(t.pass(SECOND), Refuse.class).size());
-        t.list(ListKind.CHANGES, servers(0));
-        Send next = onlySend(t.read("b", 7));
-        assertEquals(ORIGIN, onlySend(t.end(next, Outcome.MISS)).server());
+        Timeline timeline = new Timeline(Timeline.settings(0, 1, 6), 0);
+        timeline.list(ListKind.LAST_KNOWN, List.of(cache(1, State.RUNNING, 0)));
+        Send ask = onlySend(timeline.read("a", 7));
+        assertEquals(List.of(), sends(timeline.end(ask, Outcome.MISS)));
+        assertEquals(1, of(timeline.pass(SECOND), Refuse.class).size());
+        timeline.list(ListKind.CHANGES, servers(0));
+        Send next = onlySend(timeline.read("b", 7));
+        assertEquals(ORIGIN, onlySend(timeline.end(next, Outcome.MISS)).server());
     }
 
     @Test
     void requestsWithoutServersAreHeldAndThenRefused() {
-        Timeline t = new Timeline(Timeline.settings(0, 1, 6), 0);
-        t.list(ListKind.LAST_KNOWN, List.of());
-        t.read("a", 7);
-        t.request("w", "once", 7, true);
-        assertEquals(2, of(t.pass(SECOND), Refuse.class).size());
+        Timeline timeline = new Timeline(Timeline.settings(0, 1, 6), 0);
+        timeline.list(ListKind.LAST_KNOWN, List.of());
+        timeline.read("a", 7);
+        timeline.request("w", "once", 7, true);
+        assertEquals(2, of(timeline.pass(SECOND), Refuse.class).size());
     }
 
     @Test
     void aRequestWithLessTimeThanATickIsRefusedAtOnce() {
         // It would expire before the next tick.
-        Timeline t = new Timeline(Timeline.settings(0, 1, 6), 0);
-        t.list(ListKind.LAST_KNOWN, List.of());
-        List<Action> actions = t.event(new Request("a", "read", "t", true, 7, t.now + 20_000, 0, 0, false, false));
+        Timeline timeline = new Timeline(Timeline.settings(0, 1, 6), 0);
+        timeline.list(ListKind.LAST_KNOWN, List.of());
+        List<Action> actions =
+                timeline.event(new Request("a", "read", "t", true, 7, timeline.now + 20_000, 0, 0, false, false));
         assertEquals(1, of(actions, Refuse.class).size());
     }
 
     @Test
     void fullAnswersAreNotRetriedAtOnce() {
         // Immediate retries would overload the other caches.
-        Timeline t = Timeline.with(0, 1, 5);
-        Send ask = onlySend(t.read("a", 7));
-        assertEquals(List.of(), sends(t.end(ask, Outcome.FULL)));
-        assertEquals(1, sends(t.pass(400_000)).size());
+        Timeline timeline = Timeline.with(0, 1, 5);
+        Send ask = onlySend(timeline.read("a", 7));
+        assertEquals(List.of(), sends(timeline.end(ask, Outcome.FULL)));
+        assertEquals(1, sends(timeline.pass(400_000)).size());
     }
 
     @Test
     void requestsAtASilentCacheAreCancelledAndSentElsewhere() {
-        Timeline t = Timeline.with(0, 1, 2);
+        Timeline timeline = Timeline.with(0, 1, 2);
         List<Send> unanswered = new ArrayList<>();
         for (int i = 0; unanswered.size() < 4; i++) {
-            Send send = onlySend(t.read("r" + i, Hash.mix(i + 1)));
+            Send send = onlySend(timeline.read("r" + i, Hash.mix(i + 1)));
             if (send.server() == 1) {
                 unanswered.add(send);
             } else {
-                t.end(send, Outcome.SERVED);
+                timeline.end(send, Outcome.SERVED);
             }
         }
         // A stalled balancer hears no server, and must not take all of them out of use.
-        assertEquals(List.of(), of(t.pass(600_000), Cancel.class));
-        Send other = onlySend(t.read("other", keyOf(2)));
-        t.end(other, Outcome.SERVED);
-        List<Cancel> cancels = of(t.pass(100_000), Cancel.class);
+        assertEquals(List.of(), of(timeline.pass(600_000), Cancel.class));
+        Send other = onlySend(timeline.read("other", keyOf(2)));
+        timeline.end(other, Outcome.SERVED);
+        List<Cancel> cancels = of(timeline.pass(100_000), Cancel.class);
         assertEquals(4, cancels.size());
-        assertEquals(2, onlySend(t.end(unanswered.get(0), Outcome.CANCELLED)).server());
+        assertEquals(
+                2, onlySend(timeline.end(unanswered.get(0), Outcome.CANCELLED)).server());
     }
 
     @Test
     void aFailingCacheIsAvoidedUntilItServesAgain() {
         // It fails quickly and so looks idle; requests must not spend all their attempts on it.
-        Timeline t = Timeline.with(0, 1, 4);
+        Timeline timeline = Timeline.with(0, 1, 4);
         int[] asked = new int[2];
         for (int i = 0; i < 1_200; i++) {
             boolean healthy = i >= 400;
-            List<Send> sends = sends(t.read("r" + i, Hash.mix(i + 1)));
+            List<Send> sends = sends(timeline.read("r" + i, Hash.mix(i + 1)));
             for (int tries = 0; !sends.isEmpty() && tries < 6; tries++) {
                 boolean failing = sends.get(0).server() == 1;
                 asked[healthy ? 1 : 0] += failing ? 1 : 0;
-                sends = sends(t.end(sends.get(0), failing && !healthy ? Outcome.ERROR : Outcome.SERVED));
+                sends = sends(timeline.end(sends.get(0), failing && !healthy ? Outcome.ERROR : Outcome.SERVED));
             }
-            t.pass(20_000);
+            timeline.pass(20_000);
         }
         assertTrue(asked[0] < 40, asked[0] + " of 400 requests tried it while it failed");
         assertTrue(asked[1] > 100, asked[1] + " of 800 requests tried it when it was well");
@@ -209,32 +213,35 @@
 
     @Test
     void keysOfACacheThatRefusesAllGoToTheNextOne() {
-        Timeline t = Timeline.with(0, 1, 2);
-        int turnedAway = 0;
+        Timeline timeline = Timeline.with(0, 1, 2);
+        int refused = 0;
         for (int i = 0; i < 60; i++) {
-            for (Send send : sends(t.read("r" + i, Hash.mix(i + 1)))) {
-                turnedAway += send.server() == 1 ? 1 : 0;
-                t.end(send, send.server() == 1 ? Outcome.FULL : Outcome.SERVED);
+            for (Send send : sends(timeline.read("r" + i, Hash.mix(i + 1)))) {
+                refused += send.server() == 1 ? 1 : 0;
+                timeline.end(send, send.server() == 1 ? Outcome.FULL : Outcome.SERVED);
             }
-            t.pass(2_000);
+            timeline.pass(2_000);
         }
-        assertTrue(turnedAway < 25, turnedAway + " refused");
+        assertTrue(refused < 25, refused + " refused");
         assertTrue(
-                of(t.actions, Send.class).stream().filter(s -> s.server() == 2).count() >= 50,
+                of(timeline.actions, Send.class).stream()
+                                .filter(s -> s.server() == 2)
+                                .count()
+                        >= 50,
                 "served by the other cache");
     }
 
     @Test
     void aRequestWithoutAttemptIsRefusedWithinHalfOfItsTime() {
         // The client keeps time for a retry.
-        Timeline t = Timeline.with(0, 1, 1);
+        Timeline timeline = Timeline.with(0, 1, 1);
         for (int i = 0; i < 16; i++) {
-            onlySend(t.read("out" + i, i));
+            onlySend(timeline.read("out" + i, i));
         }
-        assertEquals(List.of(), sends(t.read("parked", 99)));
+        assertEquals(List.of(), sends(timeline.read("parked", 99)));
         assertEquals(
                 1,
-                of(t.pass(700_000), Refuse.class).stream()
+                of(timeline.pass(700_000), Refuse.class).stream()
                         .filter(r -> r.request().equals("parked"))
                         .count());
     }
@@ -253,20 +260,20 @@
         // Trials in step would overload a recovering cache.
         List<Long> lastTrials = new ArrayList<>();
         for (int index = 0; index < 8; index++) {
-            Timeline t = Timeline.with(index, 64, 2);
+            Timeline timeline = Timeline.with(index, 64, 2);
             int trials = 0;
             long last = 0;
             for (int i = 0; i < 4_000; i++) {
-                for (Send send : sends(t.read("r" + i, Hash.mix(i + 1)))) {
+                for (Send send : sends(timeline.read("r" + i, Hash.mix(i + 1)))) {
                     if (send.server() == 1) {
                         trials++;
-                        last = t.now;
-                        t.end(send, Outcome.NOT_CONNECTED);
+                        last = timeline.now;
+                        timeline.end(send, Outcome.NOT_CONNECTED);
                     } else {
-                        t.end(send, Outcome.SERVED);
+                        timeline.end(send, Outcome.SERVED);
                     }
                 }
-                t.pass(5_000);
+                timeline.pass(5_000);
             }
             assertTrue(trials <= 8, trials + " trials in 20 s");
             lastTrials.add(last / 50_000);
@@ -277,20 +284,20 @@
     @Test
     void aZoneThatAnswersAgainIsRestoredAtOnce() {
         // After a partition the servers must not wait for a trial each.
-        Timeline t = Timeline.with(0, 1, 8);
+        Timeline timeline = Timeline.with(0, 1, 8);
         for (int i = 0; i < 600; i++) {
-            for (Send send : sends(t.read("cut" + i, Hash.mix(i + 1)))) {
-                t.end(send, send.server() % 2 == 0 ? Outcome.SERVED : Outcome.NOT_CONNECTED);
+            for (Send send : sends(timeline.read("cut" + i, Hash.mix(i + 1)))) {
+                timeline.end(send, send.server() % 2 == 0 ? Outcome.SERVED : Outcome.NOT_CONNECTED);
             }
-            t.pass(10_000);
+            timeline.pass(10_000);
         }
         Set<Long> far = new HashSet<>();
         for (int i = 0; i < 150; i++) {
-            for (Send send : sends(t.read("healed" + i, Hash.mix(i + 1)))) {
-                t.end(send, Outcome.SERVED);
+            for (Send send : sends(timeline.read("healed" + i, Hash.mix(i + 1)))) {
+                timeline.end(send, Outcome.SERVED);
                 far.add(send.server());
             }
-            t.pass(10_000);
+            timeline.pass(10_000);
         }
         assertTrue(far.containsAll(Set.of(1L, 3L, 5L, 7L)), far.toString());
     }
@@ -299,14 +306,16 @@
     void identicalEventsGiveIdenticalActions() {
         List<List<Action>> runs = new ArrayList<>();
         for (int run = 0; run < 2; run++) {
-            Timeline t = Timeline.with(1, 3, 6);
+            Timeline timeline = Timeline.with(1, 3, 6);
             for (int i = 0; i < 300; i++) {
-                for (Send send : sends(t.read("r" + i, Hash.mix(i % 40 + 1)))) {
-                    t.end(send, i % 3 == 0 ? Outcome.MISS : Outcome.SERVED);
+                for (Send send : sends(timeline.read("r" + i, Hash.mix(i % 40 + 1)))) {
+                    timeline.end(send, i % 3 == 0 ? Outcome.MISS : Outcome.SERVED);
                 }
-                t.pass(3_000);
+                timeline.pass(3_000);
             }
-            runs.add(t.actions.stream().filter(a -> !(a instanceof TellPeer)).toList());
+            runs.add(timeline.actions.stream()
+                    .filter(a -> !(a instanceof TellPeer))
+                    .toList());
         }
         assertEquals(runs.get(0), runs.get(1));
     }
@@ -317,10 +326,10 @@
             names = {"SERVED", "NOT_SENT"},
             mode = EnumSource.Mode.EXCLUDE)
     void anUnsafeRequestIsRetriedOrRefusedOnlyIfNothingRan(Outcome outcome) {
-        Timeline t = Timeline.with(0, 1, 3);
-        Send ask = onlySend(t.request("u", "once", 7, false));
-        List<Action> after = new ArrayList<>(t.end(ask, outcome));
-        after.addAll(t.pass(2 * SECOND));
+        Timeline timeline = Timeline.with(0, 1, 3);
+        Send ask = onlySend(timeline.request("u", "once", 7, false));
+        List<Action> after = new ArrayList<>(timeline.end(ask, outcome));
+        after.addAll(timeline.pass(2 * SECOND));
         if (!outcome.provesNothingRan()) {
             assertEquals(List.of(), sends(after), outcome + " may have run");
             assertEquals(1, of(after, Fail.class).size());
@@ -333,54 +342,54 @@
     @ParameterizedTest
     @CsvSource({"write, true", "zoned, false", "celled, false"})
     void aKeyedRequestThatMayHaveRunIsRefusedOnlyIfAllServersDropRepeats(String kind, boolean refusable) {
-        Timeline t = Timeline.with(0, 1, 3);
-        Send sent = onlySend(t.request("w", kind, 7, true));
+        Timeline timeline = Timeline.with(0, 1, 3);
+        Send sent = onlySend(timeline.request("w", kind, 7, true));
         assertEquals(ORIGIN, sent.server());
-        t.now += 890_000;
-        t.end(sent, Outcome.TIMED_OUT);
-        t.pass(2 * SECOND);
-        assertEquals(refusable ? 1 : 0, of(t.actions, Refuse.class).size());
-        assertEquals(refusable ? 0 : 1, of(t.actions, Fail.class).size());
+        timeline.now += 890_000;
+        timeline.end(sent, Outcome.TIMED_OUT);
+        timeline.pass(2 * SECOND);
+        assertEquals(refusable ? 1 : 0, of(timeline.actions, Refuse.class).size());
+        assertEquals(refusable ? 0 : 1, of(timeline.actions, Fail.class).size());
     }
 
     @ParameterizedTest
     @CsvSource({"zoned", "celled"})
     void aKeyedRequestThatMayHaveRunStaysInItsGroup(String kind) {
-        Timeline t = Timeline.with(0, 1, 6);
+        Timeline timeline = Timeline.with(0, 1, 6);
         for (int i = 0; i < 40; i++) {
-            Send first = onlySend(t.request(kind + i, kind, Hash.mix(i + 1), false));
-            List<Action> after = new ArrayList<>(t.end(first, Outcome.ERROR));
-            after.addAll(t.pass(100_000));
+            Send first = onlySend(timeline.request(kind + i, kind, Hash.mix(i + 1), false));
+            List<Action> after = new ArrayList<>(timeline.end(first, Outcome.ERROR));
+            after.addAll(timeline.pass(100_000));
             for (Send again : sends(after)) {
                 boolean same = kind.equals("zoned")
                         ? first.server() % 2 == again.server() % 2
                         : first.server() / 3 == again.server() / 3;
                 assertTrue(same, first + " then " + again);
-                t.end(again, Outcome.SERVED);
+                timeline.end(again, Outcome.SERVED);
             }
         }
     }
 
     @Test
     void attemptsPerRequestAreBounded() {
-        Timeline t = new Timeline(Timeline.settings(0, 1, 3), 0);
-        t.list(ListKind.LAST_KNOWN, servers(4));
-        List<Send> open = new ArrayList<>(sends(t.read("a", 7)));
+        Timeline timeline = new Timeline(Timeline.settings(0, 1, 3), 0);
+        timeline.list(ListKind.LAST_KNOWN, servers(4));
+        List<Send> open = new ArrayList<>(sends(timeline.read("a", 7)));
         int total = 0;
         while (!open.isEmpty()) {
             total += open.size();
-            List<Action> after = new ArrayList<>(t.end(open.remove(0), Outcome.ERROR));
-            after.addAll(t.pass(60_000));
+            List<Action> after = new ArrayList<>(timeline.end(open.remove(0), Outcome.ERROR));
+            after.addAll(timeline.pass(60_000));
             open.addAll(sends(after));
         }
         assertEquals(3, total);
-        assertEquals(1, of(t.actions, Refuse.class).size());
+        assertEquals(1, of(timeline.actions, Refuse.class).size());
     }
 
     @Test
     void everyRequestGetsOneAnswerUnderRandomOutcomes() {
         java.util.Random random = new java.util.Random(5);
-        Timeline t = Timeline.with(0, 2, 6);
+        Timeline timeline = Timeline.with(0, 2, 6);
         Outcome[] outcomes = Outcome.values();
         Set<String> owed = new HashSet<>();
         Map<String, Integer> answers = new HashMap<>();
@@ -391,23 +400,23 @@
             String kind = kinds[random.nextInt(kinds.length)];
             owed.add(id);
             List<Action> actions =
-                    new ArrayList<>(t.request(id, kind, Hash.mix(random.nextInt(30)), random.nextBoolean()));
-            actions.addAll(t.pass(random.nextInt(9_000)));
+                    new ArrayList<>(timeline.request(id, kind, Hash.mix(random.nextInt(30)), random.nextBoolean()));
+            actions.addAll(timeline.pass(random.nextInt(9_000)));
             for (int e = 0; e < 2 && !open.isEmpty(); e++) {
                 Send send = open.remove(random.nextInt(open.size()));
                 Outcome outcome = outcomes[random.nextInt(outcomes.length)];
                 if (outcome == Outcome.SERVED && owed.remove(send.request())) {
                     answers.merge(send.request(), 1, Integer::sum);
                 }
-                actions.addAll(t.end(send, outcome));
+                actions.addAll(timeline.end(send, outcome));
             }
             collect(actions, open, owed, answers);
         }
         for (int rest = 0; rest < 8; rest++) {
             while (!open.isEmpty()) {
-                collect(t.end(open.remove(0), Outcome.TIMED_OUT), open, owed, answers);
+                collect(timeline.end(open.remove(0), Outcome.TIMED_OUT), open, owed, answers);
             }
-            collect(t.pass(SECOND), open, owed, answers);
+            collect(timeline.pass(SECOND), open, owed, answers);
         }
         assertEquals(Set.of(), owed);
         answers.forEach((id, n) -> assertEquals(1, n, id));
@@ -426,30 +435,30 @@
 
     @Test
     void eventsOfUnknownOrFinishedRequestsAreIgnored() {
-        Timeline t = Timeline.with(0, 1, 3);
-        Send ask = onlySend(t.read("a", 7));
-        t.end(ask, Outcome.SERVED);
-        assertEquals(List.of(), sends(t.end(ask, Outcome.MISS)));
-        assertEquals(List.of(), t.event(new RequestGone("nobody")));
+        Timeline timeline = Timeline.with(0, 1, 3);
+        Send ask = onlySend(timeline.read("a", 7));
+        timeline.end(ask, Outcome.SERVED);
+        assertEquals(List.of(), sends(timeline.end(ask, Outcome.MISS)));
+        assertEquals(List.of(), timeline.event(new RequestGone("nobody")));
     }
 
     @Test
     void aDisconnectedClientCausesNoFetch() {
-        Timeline t = Timeline.with(0, 1, 3);
-        Send ask = onlySend(t.read("a", 7));
-        t.event(new RequestGone("a"));
-        assertEquals(List.of(), sends(t.end(ask, Outcome.MISS)));
+        Timeline timeline = Timeline.with(0, 1, 3);
+        Send ask = onlySend(timeline.read("a", 7));
+        timeline.event(new RequestGone("a"));
+        assertEquals(List.of(), sends(timeline.end(ask, Outcome.MISS)));
     }
 
     @Test
     void malformedPeerMessagesAreDropped() {
-        Timeline t = Timeline.with(0, 3, 3);
+        Timeline timeline = Timeline.with(0, 3, 3);
         for (byte[] content : new byte[][] {{}, {1, 2, 3}, new byte[PeerStatus.BYTES], new byte[256]}) {
             for (int from : new int[] {-1, 0, 3, 99, 1}) {
-                assertEquals(List.of(), t.event(new PeerMessage(from, content)));
+                assertEquals(List.of(), timeline.event(new PeerMessage(from, content)));
             }
         }
-        assertTrue(!t.rules.peers.all[1].fresh && !t.rules.peers.all[2].fresh);
+        assertTrue(!timeline.rules.peers.all[1].fresh && !timeline.rules.peers.all[2].fresh);
     }
 
     private static byte[] statusMessage(int incarnation, int sequence, float x, int queue) {
@@ -457,14 +466,14 @@
                 .encode(incarnation, sequence, CacheLoads.NONE);
     }
 
-    private static void sendLoad(Timeline t, int from, int sequence, long cache, int out) {
+    private static void sendLoad(Timeline timeline, int from, int sequence, long cache, int out) {
         byte[] loads = ByteBuffer.allocate(3)
                 .putShort((short) CacheLoads.tag(cache))
                 .put((byte) out)
                 .array();
         PeerStatus quiet = new PeerStatus(0, 100, 0, 0, 0, 0, 5, 0, 0, 0, 0, 0);
-        t.event(new PeerMessage(from, quiet.encode(from, sequence, loads)));
-        t.pass(60_000);
+        timeline.event(new PeerMessage(from, quiet.encode(from, sequence, loads)));
+        timeline.pass(60_000);
     }
 
     @Test
@@ -485,38 +494,50 @@
     }
 
     /** Receives a state with {@code queue} queued misses from each peer, and lets time pass. */
-    private static void exchangeStates(Timeline t, int balancers, int sequence, int queue, long micros) {
+    private static void exchangeStates(Timeline timeline, int balancers, int sequence, int queue, long micros) {
         PeerStatus status = new PeerStatus(
-                t.rules.ledger.period, t.rules.ledger.positionMillis(), 0, queue, 6.7f, 0, 5, 0, 100, 0, 0, 0);
+                timeline.rules.ledger.period,
+                timeline.rules.ledger.positionMillis(),
+                0,
+                queue,
+                6.7f,
+                0,
+                5,
+                0,
+                100,
+                0,
+                0,
+                0);
         for (int from = 1; from < balancers; from++) {
-            t.event(new PeerMessage(from, status.encode(from, sequence, CacheLoads.NONE)));
+            timeline.event(new PeerMessage(from, status.encode(from, sequence, CacheLoads.NONE)));
         }
-        t.pass(micros);
+        timeline.pass(micros);
     }
 
     @Test
     void rotatingCreditsOfALargeTierAreSavedForTheNextMiss() {
-        Timeline t = Timeline.with(0, 100, 3); // X is 100: a credit per second for each
+        Timeline timeline = Timeline.with(0, 100, 3); // X is 100: a credit per second for each
         int fetched = 0;
         for (int i = 0; i < 20; i++) {
             for (int r = 0; r < 4; r++) {
-                exchangeStates(t, 100, 5 * i + r + 1, 2, SECOND / 2);
+                exchangeStates(timeline, 100, 5 * i + r + 1, 2, SECOND / 2);
             }
             assertTrue(
-                    t.rules.ledger.contended,
-                    "round " + i + " X " + t.rules.budget.effectiveAllowance() + " " + t.rules.peers.refreshAndCount());
-            t.end(onlySend(t.read("r" + i, 1000 + i)), Outcome.MISS);
-            exchangeStates(t, 100, 5 * i + 5, 2, 250_000);
-            List<Send> sends = sends(t.actions);
+                    timeline.rules.ledger.contended,
+                    "round " + i + " X " + timeline.rules.budget.effectiveAllowance() + " "
+                            + timeline.rules.peers.refreshAndCount());
+            timeline.end(onlySend(timeline.read("r" + i, 1000 + i)), Outcome.MISS);
+            exchangeStates(timeline, 100, 5 * i + 5, 2, 250_000);
+            List<Send> sends = sends(timeline.actions);
             if (sends.get(sends.size() - 1).server() != Timeline.ORIGIN) { // first a recheck of the cache
-                t.end(sends.get(sends.size() - 1), Outcome.MISS);
-                t.pass(100_000);
-                sends = sends(t.actions);
+                timeline.end(sends.get(sends.size() - 1), Outcome.MISS);
+                timeline.pass(100_000);
+                sends = sends(timeline.actions);
             }
             Send last = sends.get(sends.size() - 1);
             if (last.server() == Timeline.ORIGIN && last.request().equals("r" + i)) {
                 fetched++;
-                t.end(last, Outcome.SERVED);
+                timeline.end(last, Outcome.SERVED);
             }
         }
         assertTrue(fetched >= 16, fetched + " of 20 misses fetched in time");
@@ -525,81 +546,84 @@
     /** With the oldest first, an overloaded origin would serve each when its time is nearly over. */
     @Test
     void theNewestOfEquallyWorthyKeysIsFetchedFirst() {
-        Timeline t = Timeline.with(0, 1, 3);
+        Timeline timeline = Timeline.with(0, 1, 3);
         List<Send> fetches = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
-            fetches.addAll(sends(t.end(onlySend(t.read("r" + i, i)), Outcome.MISS)));
+            fetches.addAll(sends(timeline.end(onlySend(timeline.read("r" + i, i)), Outcome.MISS)));
         }
         assertTrue(fetches.size() < 190, fetches.size() + " of 200 at once");
         List<Send> next = new ArrayList<>();
         for (Send fetch : fetches) {
-            next.addAll(sends(t.end(fetch, Outcome.SERVED)));
+            next.addAll(sends(timeline.end(fetch, Outcome.SERVED)));
         }
         for (int i = 0; i < 10 && next.isEmpty(); i++) {
-            next.addAll(sends(t.pass(20_000)));
+            next.addAll(sends(timeline.pass(20_000)));
         }
         assertEquals("r199", next.get(0).request());
     }
 
     @Test
     void readsWithTooLittleTimeAreRefusedAtOnce() {
-        Timeline t = Timeline.with(0, 1, 3);
-        List<Decisions.Action> late = t.event(new Decisions.Request(
+        Timeline timeline = Timeline.with(0, 1, 3);
+        List<Decisions.Action> late = timeline.event(new Decisions.Request(
                 "late",
                 "read",
                 "t",
                 true,
                 7,
-                t.now + 100_000,
+                timeline.now + 100_000,
                 0,
                 0,
                 true,
                 false)); // the expected answer time is 200 ms before any answer
         assertEquals(List.of(), sends(late));
         assertEquals("late", Timeline.of(late, Decisions.Refuse.class).get(0).request());
-        Send send = onlySend(
-                t.event(new Decisions.Request("soon", "read", "t", true, 7, t.now + 300_000, 0, 0, true, false)));
+        Send send = onlySend(timeline.event(
+                new Decisions.Request("soon", "read", "t", true, 7, timeline.now + 300_000, 0, 0, true, false)));
         assertEquals("soon", send.request());
-        t.end(send, Outcome.MISS); // writes are sent with any time left
+        timeline.end(send, Outcome.MISS); // writes are sent with any time left
         assertEquals(
                 1,
-                sends(t.event(new Decisions.Request("w", "write", "t", true, 8, t.now + 100_000, 0, 0, false, true)))
+                sends(timeline.event(new Decisions.Request(
+                                "w", "write", "t", true, 8, timeline.now + 100_000, 0, 0, false, true)))
                         .size());
     }
 
     @Test
     void timeoutsStopReadsWithLittleTimeAndAnswersAdmitThemAgain() {
-        Timeline t = Timeline.with(0, 1, 3);
-        for (int i = 0; i < 400 && !sends(readWithLittleTime(t, "a" + i)).isEmpty(); i++) {
-            Send send = sends(t.actions).get(sends(t.actions).size() - 1);
-            t.pass(400_000);
-            t.event(new Decisions.AttemptEnded(
+        Timeline timeline = Timeline.with(0, 1, 3);
+        for (int i = 0; i < 400 && !sends(readWithLittleTime(timeline, "a" + i)).isEmpty(); i++) {
+            Send send = sends(timeline.actions).get(sends(timeline.actions).size() - 1);
+            timeline.pass(400_000);
+            timeline.event(new Decisions.AttemptEnded(
                     "a" + i, 0, send.server(), Outcome.TIMED_OUT, 400_000, false, 0, new double[0]));
-            t.pass(100_000);
+            timeline.pass(100_000);
         }
-        assertEquals("b", of(readWithLittleTime(t, "b"), Refuse.class).get(0).request());
-        t.pass(10 * SECOND);
+        assertEquals(
+                "b", of(readWithLittleTime(timeline, "b"), Refuse.class).get(0).request());
+        timeline.pass(10 * SECOND);
         for (int i = 0;
-                i < 400 && sends(readWithLittleTime(t, "c" + i)).isEmpty();
+                i < 400 && sends(readWithLittleTime(timeline, "c" + i)).isEmpty();
                 i++) { // reads with their full time are still sent
-            t.end(onlySend(t.read("d" + i, i)), Outcome.SERVED);
-            t.pass(100_000);
+            timeline.end(onlySend(timeline.read("d" + i, i)), Outcome.SERVED);
+            timeline.pass(100_000);
         }
-        assertEquals(1, sends(readWithLittleTime(t, "e")).size());
+        assertEquals(1, sends(readWithLittleTime(timeline, "e")).size());
     }
 
-    private static List<Decisions.Action> readWithLittleTime(Timeline t, String id) {
-        return t.event(new Decisions.Request(id, "read", "t", true, 7, t.now + 400_000, 0, 0, true, false));
+    private static List<Decisions.Action> readWithLittleTime(Timeline timeline, String id) {
+        return timeline.event(
+                new Decisions.Request(id, "read", "t", true, 7, timeline.now + 400_000, 0, 0, true, false));
     }
 
     @Test
     void timeoutsByShortDeadlinesDoNotLowerTheAllowance() {
         double[] x = new double[2];
         for (int variant = 0; variant < 2; variant++) {
-            Timeline t = Timeline.with(0, 1, 3);
+            Timeline timeline = Timeline.with(0, 1, 3);
             for (int i = 0; i < 40; i++) {
-                Send write = onlySend(t.request("w" + i, "write", i, true));
-                t.event(new Decisions.AttemptEnded(
+                Send write = onlySend(timeline.request("w" + i, "write", i, true));
+                timeline.event(new Decisions.AttemptEnded(
                         "w" + i,
                         0,
                         write.server(),
@@ -608,9 +632,9 @@
                         true,
                         0,
                         new double[0]));
-                t.pass(100_000);
+                timeline.pass(100_000);
             }
-            x[variant] = t.rules.budget.effectiveAllowance();
+            x[variant] = timeline.rules.budget.effectiveAllowance();
         }
         assertTrue(x[0] == 100 && x[1] < 50, "X after short time-outs " + x[0] + ", after long ones " + x[1]);
     }
@@ -618,14 +642,14 @@
     @Test
     void oneBalancerOutOfCreditsRaisesTheAllowanceOfAll() {
         for (int queue = 0; queue <= 3; queue += 3) {
-            Timeline t = Timeline.with(0, 100, 3);
-            double before = t.rules.budget.effectiveAllowance();
+            Timeline timeline = Timeline.with(0, 100, 3);
+            double before = timeline.rules.budget.effectiveAllowance();
             for (int i = 1; i <= 12; i++) {
                 for (int from = 1; from < 100; from++) {
                     boolean busy = from == 7;
                     PeerStatus status = new PeerStatus(
-                            t.rules.ledger.period,
-                            t.rules.ledger.positionMillis(),
+                            timeline.rules.ledger.period,
+                            timeline.rules.ledger.positionMillis(),
                             0,
                             busy ? queue : 0,
                             busy ? 4 : 0,
@@ -636,12 +660,12 @@
                             2 * i,
                             100L * i,
                             0);
-                    t.event(new PeerMessage(from, status.encode(from, i, CacheLoads.NONE)));
+                    timeline.event(new PeerMessage(from, status.encode(from, i, CacheLoads.NONE)));
                 }
-                t.pass(SECOND / 2);
+                timeline.pass(SECOND / 2);
             }
-            assertTrue(!t.rules.ledger.contended);
-            double now = t.rules.budget.effectiveAllowance();
+            assertTrue(!timeline.rules.ledger.contended);
+            double now = timeline.rules.budget.effectiveAllowance();
             assertTrue(queue == 0 ? now == before : now > 3 * before, queue + " queued, X " + before + " to " + now);
         }
     }
@@ -651,16 +675,16 @@
         int[] sent = new int[2];
         int[] fleets = {4, 100};
         for (int i = 0; i < 2; i++) {
-            Timeline t = Timeline.withPricedMessages(0, fleets[i], 3);
+            Timeline timeline = Timeline.withPricedMessages(0, fleets[i], 3);
             for (int r = 0; r < 200; r++) { // ten per second, each of which would cause messages
-                Send send = onlySend(t.read("r" + r, r));
-                t.pass(50_000);
-                t.end(send, Outcome.MISS);
-                t.pass(50_000);
-                List<Send> fetch = sends(t.actions);
-                t.end(fetch.get(fetch.size() - 1), Outcome.SERVED);
+                Send send = onlySend(timeline.read("r" + r, r));
+                timeline.pass(50_000);
+                timeline.end(send, Outcome.MISS);
+                timeline.pass(50_000);
+                List<Send> fetch = sends(timeline.actions);
+                timeline.end(fetch.get(fetch.size() - 1), Outcome.SERVED);
             }
-            sent[i] = Timeline.of(t.actions, Decisions.TellPeer.class).size();
+            sent[i] = Timeline.of(timeline.actions, Decisions.TellPeer.class).size();
         }
         assertTrue(sent[0] >= 80, "four balancers are not limited: " + sent[0]);
         assertTrue(sent[1] >= 18 && sent[1] <= 24, "a hundred send once per second, " + sent[1]);
@@ -677,11 +701,12 @@
         int most = 0;
         for (int step = 0; step < 200; step++) {
             int telling = 0;
-            for (Timeline t : fleet) {
+            for (Timeline timeline : fleet) {
                 if (step % 4 == 0) {
-                    t.end(onlySend(t.read("r" + step, step)), Outcome.SERVED);
+                    timeline.end(onlySend(timeline.read("r" + step, step)), Outcome.SERVED);
                 }
-                telling += Timeline.of(t.pass(50_000), Decisions.TellPeer.class).size();
+                telling += Timeline.of(timeline.pass(50_000), Decisions.TellPeer.class)
+                        .size();
             }
             all += step >= 60 ? telling : 0;
             most = Math.max(most, step >= 60 ? telling : 0);
@@ -691,11 +716,11 @@
 
     @Test
     void attemptsOfPeersCountAgainstTheLimitOfACache() {
-        Timeline t = Timeline.with(0, 2, 1);
-        sendLoad(t, 1, 1, 1, (int) Rules.INITIAL_CONCURRENCY_LIMIT);
-        assertEquals(List.of(), sends(t.read("a", 7)));
-        sendLoad(t, 1, 2, 1, 0);
-        assertEquals(1, sends(t.actions).size());
+        Timeline timeline = Timeline.with(0, 2, 1);
+        sendLoad(timeline, 1, 1, 1, (int) Rules.INITIAL_CONCURRENCY_LIMIT);
+        assertEquals(List.of(), sends(timeline.read("a", 7)));
+        sendLoad(timeline, 1, 2, 1, 0);
+        assertEquals(1, sends(timeline.actions).size());
     }
 
     /** Clients may give up before the aim of their class, and then a shorter queue is too long for them. */
@@ -704,16 +729,16 @@
         int[] out = new int[2];
         long[] gives = {1_500_000, 380_000};
         for (int variant = 0; variant < 2; variant++) {
-            Timeline t = Timeline.with(0, 1, 1);
+            Timeline timeline = Timeline.with(0, 1, 1);
             for (int i = 0; i < 200; i++) {
-                Send send = onlySend(t.event(
-                        new Request("a" + i, "read", "t", true, i, t.now + gives[variant], 0, 0, false, false)));
-                t.event(new Decisions.AttemptEnded(
+                Send send = onlySend(timeline.event(
+                        new Request("a" + i, "read", "t", true, i, timeline.now + gives[variant], 0, 0, false, false)));
+                timeline.event(new Decisions.AttemptEnded(
                         send.request(), 0, send.server(), Outcome.SERVED, 250_000, true, 1, new double[0]));
-                t.pass(250_000);
+                timeline.pass(250_000);
             }
             for (int i = 0; i < 40; i++) {
-                out[variant] += sends(t.read("b" + i, i)).size();
+                out[variant] += sends(timeline.read("b" + i, i)).size();
             }
         }
         assertTrue(
@@ -724,17 +749,18 @@
     /** In order of arrival all answers would be late under overload. */
     @Test
     void requestsInTimeGoBeforeLateOnes() {
-        Timeline t = Timeline.with(0, 1, 1);
+        Timeline timeline = Timeline.with(0, 1, 1);
         List<Send> out = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
-            out.addAll(sends(t.request("old" + i, "patient", i, false)));
+            out.addAll(sends(timeline.request("old" + i, "patient", i, false)));
         }
         assertEquals((int) Rules.INITIAL_CONCURRENCY_LIMIT, out.size());
-        t.pass(650_000);
-        t.request("young", "patient", 77, false);
-        assertEquals("young", onlySend(t.end(out.get(0), Outcome.SERVED)).request());
+        timeline.pass(650_000);
+        timeline.request("young", "patient", 77, false);
+        assertEquals("young", onlySend(timeline.end(out.get(0), Outcome.SERVED)).request());
         assertEquals(
-                "old" + out.size(), onlySend(t.end(out.get(1), Outcome.SERVED)).request());
+                "old" + out.size(),
+                onlySend(timeline.end(out.get(1), Outcome.SERVED)).request());
     }
 
     @Test
@@ -747,16 +773,16 @@
             }
         });
         for (int variant = 0; variant < 2; variant++) {
-            Timeline t = Timeline.with(0, 1, 3);
-            t.list(ListKind.CHANGES, List.of(cache(4, State.RUNNING, t.now)));
+            Timeline timeline = Timeline.with(0, 1, 3);
+            timeline.list(ListKind.CHANGES, List.of(cache(4, State.RUNNING, timeline.now)));
             for (int i = 0; i < ownKeys.size(); i++) {
-                List<Send> sends = sends(t.read("r" + i, ownKeys.get(i)));
+                List<Send> sends = sends(timeline.read("r" + i, ownKeys.get(i)));
                 for (int tries = 0; !sends.isEmpty() && tries < 3; tries++) {
                     boolean cold = sends.get(0).server() == 4;
                     asked[variant] += cold ? 1 : 0;
-                    sends = sends(t.end(sends.get(0), cold && variant == 1 ? Outcome.MISS : Outcome.SERVED));
+                    sends = sends(timeline.end(sends.get(0), cold && variant == 1 ? Outcome.MISS : Outcome.SERVED));
                 }
-                t.pass(10_000);
+                timeline.pass(10_000);
             }
         }
         assertTrue(asked[1] > 2 * asked[0], asked[0] + " answers, " + asked[1] + " misses");
@@ -764,114 +790,115 @@
 
     @Test
     void reorderedMessagesAreIgnoredAndThoseOfARestartedPeerAccepted() {
-        Timeline t = Timeline.with(0, 2, 3);
-        t.event(new PeerMessage(1, statusMessage(7, 5, 50, 0)));
-        t.event(new PeerMessage(1, statusMessage(7, 4, 10, 0)));
-        assertEquals(50, t.rules.budget.effectiveAllowance(), 1e-6);
-        t.event(new PeerMessage(1, statusMessage(8, 1, 20, 0)));
-        assertEquals(20, t.rules.budget.effectiveAllowance(), 1e-6);
+        Timeline timeline = Timeline.with(0, 2, 3);
+        timeline.event(new PeerMessage(1, statusMessage(7, 5, 50, 0)));
+        timeline.event(new PeerMessage(1, statusMessage(7, 4, 10, 0)));
+        assertEquals(50, timeline.rules.budget.effectiveAllowance(), 1e-6);
+        timeline.event(new PeerMessage(1, statusMessage(8, 1, 20, 0)));
+        assertEquals(20, timeline.rules.budget.effectiveAllowance(), 1e-6);
     }
 
     @Test
     void aPeriodThatAPeerEndsFirstIsStillEvaluated() {
         // The peer's message on the new period arrives just before each own tick.
-        Timeline t = Timeline.with(1, 2, 3);
+        Timeline timeline = Timeline.with(1, 2, 3);
         for (int i = 1; i <= 10; i++) {
             PeerStatus status = new PeerStatus(i, 0, 0, 0, 0, 0, 5, 0, 0, 4 * i, 200L * i, 0);
-            t.event(new PeerMessage(0, status.encode(1, i, CacheLoads.NONE)));
-            t.pass(999_000);
+            timeline.event(new PeerMessage(0, status.encode(1, i, CacheLoads.NONE)));
+            timeline.pass(999_000);
         }
-        assertTrue(t.rules.peers.all[0].countedState.answers() >= 4 * 8);
+        assertTrue(timeline.rules.peers.all[0].countedState.answers() >= 4 * 8);
     }
 
     @Test
     void aBalancerWithoutAnEstimateUsesThoseOfItsPeers() {
-        Timeline t = Timeline.with(0, 2, 3);
-        double first = t.rules.budget.effectiveAllowance();
-        t.event(new PeerMessage(1, statusMessage(7, 1, (float) (4 * first), 0)));
-        assertEquals(4 * first, t.rules.budget.effectiveAllowance(), 0.01);
+        Timeline timeline = Timeline.with(0, 2, 3);
+        double first = timeline.rules.budget.effectiveAllowance();
+        timeline.event(new PeerMessage(1, statusMessage(7, 1, (float) (4 * first), 0)));
+        assertEquals(4 * first, timeline.rules.budget.effectiveAllowance(), 0.01);
     }
 
     @Test
     void aStaleLowEstimateExpires() {
-        Timeline t = Timeline.with(0, 2, 3);
-        t.pass(100_000);
-        t.event(new PeerMessage(1, statusMessage(7, 1, 1, 0)));
-        assertEquals(1, t.rules.budget.effectiveAllowance(), 1e-6);
-        t.pass(10 * SECOND);
-        assertTrue(t.rules.budget.effectiveAllowance() > 1, "X " + t.rules.budget.effectiveAllowance());
+        Timeline timeline = Timeline.with(0, 2, 3);
+        timeline.pass(100_000);
+        timeline.event(new PeerMessage(1, statusMessage(7, 1, 1, 0)));
+        assertEquals(1, timeline.rules.budget.effectiveAllowance(), 1e-6);
+        timeline.pass(10 * SECOND);
+        assertTrue(timeline.rules.budget.effectiveAllowance() > 1, "X " + timeline.rules.budget.effectiveAllowance());
     }
 
     @Test
     void idleTimeDoesNotInflateTheAllowance() {
-        Timeline t = Timeline.with(0, 1, 3);
-        double before = t.rules.budget.effectiveAllowance();
-        t.pass(60 * SECOND);
-        assertEquals(before, t.rules.budget.effectiveAllowance(), 1e-6);
+        Timeline timeline = Timeline.with(0, 1, 3);
+        double before = timeline.rules.budget.effectiveAllowance();
+        timeline.pass(60 * SECOND);
+        assertEquals(before, timeline.rules.budget.effectiveAllowance(), 1e-6);
     }
 
     @Test
     void theAllowanceFallsOnRefusalsAndRecovers() {
-        Timeline t = Timeline.with(0, 1, 3);
-        double before = t.rules.budget.effectiveAllowance();
-        flood(t, 4, Outcome.FULL);
-        double fallen = t.rules.budget.effectiveAllowance();
+        Timeline timeline = Timeline.with(0, 1, 3);
+        double before = timeline.rules.budget.effectiveAllowance();
+        flood(timeline, 4, Outcome.FULL);
+        double fallen = timeline.rules.budget.effectiveAllowance();
         assertTrue(fallen < before, fallen + " after " + before);
-        flood(t, 12, Outcome.SERVED);
-        assertTrue(t.rules.budget.effectiveAllowance() > fallen, "X " + t.rules.budget.effectiveAllowance());
+        flood(timeline, 12, Outcome.SERVED);
+        assertTrue(
+                timeline.rules.budget.effectiveAllowance() > fallen, "X " + timeline.rules.budget.effectiveAllowance());
     }
 
     /** Causes more misses than credits for some seconds; every fetch has the given outcome. */
-    private static void flood(Timeline t, int seconds, Outcome origin) {
-        int start = t.actions.size();
+    private static void flood(Timeline timeline, int seconds, Outcome origin) {
+        int start = timeline.actions.size();
         List<Send> open = new ArrayList<>();
         for (int step = 0; step < seconds * 100; step++) {
             for (int i = 0; i < 5; i++) {
                 String id = "f" + start + "-" + step + "-" + i;
-                open.addAll(sends(t.read(id, Hash.mix(id.hashCode()))));
+                open.addAll(sends(timeline.read(id, Hash.mix(id.hashCode()))));
             }
-            open.addAll(sends(t.pass(10_000)));
+            open.addAll(sends(timeline.pass(10_000)));
             List<Send> now = new ArrayList<>(open);
             open.clear();
             for (Send send : now) {
-                open.addAll(sends(t.end(send, send.server() == ORIGIN ? origin : Outcome.MISS)));
+                open.addAll(sends(timeline.end(send, send.server() == ORIGIN ? origin : Outcome.MISS)));
             }
         }
         for (int rest = 0; rest < 10; rest++) {
             for (Send send : List.copyOf(open)) {
-                t.end(send, send.server() == ORIGIN ? origin : Outcome.CANCELLED);
+                timeline.end(send, send.server() == ORIGIN ? origin : Outcome.CANCELLED);
             }
             open.clear();
-            open.addAll(sends(t.pass(300_000)));
+            open.addAll(sends(timeline.pass(300_000)));
         }
     }
 
     @Test
     void theStateOfASilentPeerIsIgnored() {
-        Timeline t = Timeline.with(0, 2, 3);
-        t.event(new PeerMessage(1, statusMessage(7, 1, 50, 900)));
-        t.pass(SECOND);
-        assertTrue(t.rules.ledger.contended, "a fresh peer's queue counts");
-        t.pass(4 * SECOND);
-        assertTrue(!t.rules.ledger.contended, "a silent peer's queue does not");
+        Timeline timeline = Timeline.with(0, 2, 3);
+        timeline.event(new PeerMessage(1, statusMessage(7, 1, 50, 900)));
+        timeline.pass(SECOND);
+        assertTrue(timeline.rules.ledger.contended, "a fresh peer's queue counts");
+        timeline.pass(4 * SECOND);
+        assertTrue(!timeline.rules.ledger.contended, "a silent peer's queue does not");
     }
 
     @Test
     void idleBalancersSendHeartbeatsOnly() {
-        Timeline t = Timeline.with(0, 30, 3);
-        long sent = of(t.pass(20 * SECOND), TellPeer.class).size();
+        Timeline timeline = Timeline.with(0, 30, 3);
+        long sent = of(timeline.pass(20 * SECOND), TellPeer.class).size();
         assertTrue(sent >= 15 && sent <= 25, sent + " messages in 20 s");
     }
 
     @Test
     void aFailedWatchIsRetriedWithBackoff() {
-        Timeline t = new Timeline(Timeline.settings(0, 2, 6, Membership.ASK, true), 0);
-        t.list(ListKind.LAST_KNOWN, servers(3));
+        Timeline timeline = new Timeline(Timeline.settings(0, 2, 6, Membership.ASK, true), 0);
+        timeline.list(ListKind.LAST_KNOWN, servers(3));
         List<Long> times = new ArrayList<>();
         for (int i = 0; i < 3_000; i++) {
-            if (!of(t.pass(10_000), WatchServers.class).isEmpty()) {
-                times.add(t.now);
-                t.list(ListKind.FAILED, List.of());
+            if (!of(timeline.pass(10_000), WatchServers.class).isEmpty()) {
+                times.add(timeline.now);
+                timeline.list(ListKind.FAILED, List.of());
             }
         }
         assertTrue(times.get(1) - times.get(0) < SECOND / 2 + SECOND / 10, "first retry soon: " + times);
@@ -900,21 +927,21 @@
 
     @Test
     void anAllowanceBelowOneStillFetches() {
-        Timeline t = Timeline.with(0, 2, 3);
-        t.event(new PeerMessage(1, statusMessage(7, 1, 0.5f, 0)));
+        Timeline timeline = Timeline.with(0, 2, 3);
+        timeline.event(new PeerMessage(1, statusMessage(7, 1, 0.5f, 0)));
         int fetches = 0;
         int sequence = 2;
         for (int s = 0; s < 40; s++) {
-            for (Send ask : sends(t.read("r" + s, Hash.mix(s + 1)))) {
-                List<Action> after = new ArrayList<>(t.end(ask, Outcome.MISS));
-                after.addAll(t.pass(700_000));
+            for (Send ask : sends(timeline.read("r" + s, Hash.mix(s + 1)))) {
+                List<Action> after = new ArrayList<>(timeline.end(ask, Outcome.MISS));
+                after.addAll(timeline.pass(700_000));
                 for (Send fetch : sends(after)) {
                     fetches += fetch.server() == ORIGIN ? 1 : 0;
-                    t.end(fetch, Outcome.SERVED);
+                    timeline.end(fetch, Outcome.SERVED);
                 }
             }
-            t.event(new PeerMessage(1, statusMessage(7, sequence++, 0.5f, 0)));
-            t.pass(300_000);
+            timeline.event(new PeerMessage(1, statusMessage(7, sequence++, 0.5f, 0)));
+            timeline.pass(300_000);
         }
         assertTrue(fetches >= 3 && fetches <= 35, fetches + " fetches in 40 s");
     }
--- a/balancer/src/test/java/merlinstep/TierCreditsTest.java
+++ b/balancer/src/test/java/merlinstep/TierCreditsTest.java
@@ -91,7 +91,7 @@
 
     private double allowance() {
         return tier.stream()
-                .mapToDouble(t -> t.rules.budget.effectiveAllowance())
+                .mapToDouble(timeline -> timeline.rules.budget.effectiveAllowance())
                 .max()
                 .orElseThrow();
     }
--- a/balancer/src/test/java/merlinstep/Timeline.java
+++ b/balancer/src/test/java/merlinstep/Timeline.java
@@ -48,15 +48,15 @@
 
     /** Returns an instance in a tier of {@code balancers}, with {@code caches} caches and an origin. */
     static Timeline with(int index, int balancers, int caches) {
-        Timeline t = new Timeline(settings(index, balancers, 6), 5 * SECOND);
-        t.list(ListKind.LAST_KNOWN, servers(caches));
-        return t;
+        Timeline timeline = new Timeline(settings(index, balancers, 6), 5 * SECOND);
+        timeline.list(ListKind.LAST_KNOWN, servers(caches));
+        return timeline;
     }
 
     /** Returns the same with a price on peer messages, which large tiers then send once per second. */
     static Timeline withPricedMessages(int index, int balancers, int caches) {
         Settings s = settings(index, balancers, 6);
-        Timeline t = new Timeline(
+        Timeline timeline = new Timeline(
                 new Settings(
                         index,
                         balancers,
@@ -82,8 +82,8 @@
                         false,
                         5_000),
                 5 * SECOND);
-        t.list(ListKind.LAST_KNOWN, servers(caches));
-        return t;
+        timeline.list(ListKind.LAST_KNOWN, servers(caches));
+        return timeline;
     }
 
     /** Returns the settings with other rules. */
