--- a/balancer/src/main/java/merlinstep/Rules.java
+++ b/balancer/src/main/java/merlinstep/Rules.java
@@ -207,14 +207,22 @@
     final class Ledger {
         final int subperiods;
         final long subperiodMicros;
+        /** Number of the period, modulo 65536. */
         int period;
+        /** Fetches of this balancer in the period. */
         int fetched;
+        /** Whether more fetches are queued in the tier than a subperiod has credits for. */
         boolean contended;
+
         private long periodStartMicros;
         private int subperiod;
+        /** Credits left; negative after writes that overdrew. */
         private int credits;
+        /** Credits kept under contention for the next miss. */
         private int savedCredits;
+        /** Most fetches outstanding at a time. */
         private int outstandingCap;
+        /** Whether credits have limited fetches in this period. */
         private boolean allowanceBound;
 
         Ledger() {
@@ -404,11 +412,17 @@
      * balancers report.
      */
     final class Budget {
+        /** This balancer's estimate of X. */
         private double allowance;
+        /** Highest rate answered in time, decaying. */
         private double bestRate;
+        /** Rate of the last period. */
         private double previousRate;
+        /** Mean latency of the last period if it ended with a cut, else 0. */
         private double meanBeforeCut;
+        /** Lowest mean latency of a period. */
         private double minLatencyMicros = shortestAimMicros / 4.0;
+
         private boolean learned;
         private boolean grewLastPeriod;
         private long answers;
@@ -634,11 +648,17 @@
         private Cache origin;
         private final KeyCounts counts = new KeyCounts(COUNTERS_PER_ROW);
         private final boolean liveSizes = settings.weights() == Weights.LIVE;
+        /** Sum of the parts of all caches in use. */
         private double capacity;
+        /** Outstanding attempts of the tier per unit of capacity. */
         private double meanLoad;
+        /** Peak of the recent work per unit of capacity, decaying. */
         private double peakWork;
+        /** Mean latency of hits. */
         private double hitMicros = shortestAimMicros / 4;
+        /** Time that an answer is expected to take; timeouts count double. */
         private double answerMicros = hitMicros;
+
         private long lastHalvedMicros = NEVER;
         private long lastAnswerMicros = NEVER / 2;
 
@@ -872,7 +892,7 @@
 
         /**
          * Returns the cache for a key: the least loaded of the first {@code spread} usable caches of its
-         * slot.
+         * slot, or one before them that is out of use and due for a trial.
          *
          * @param avoided a cache to skip, or null
          * @return null if the request has to wait
