--- a/emulator/src/main/java/baymoor/emulator/calibrate/Calibration.java
+++ b/emulator/src/main/java/baymoor/emulator/calibrate/Calibration.java
@@ -75,32 +75,32 @@
     private record Pair(double load, RouterLoad virtual, RouterLoad sockets) {}
 
     /**
-     * @param at   how many repeats run side by side on loopback; each takes a few hundredths of a core
-     * @param done hears how many of all the runs on loopback are over
+     * @param parallelism   how many repeats run side by side on loopback; each takes a few hundredths of a core
+     * @param progress hears how many of all the runs on loopback are over
      */
-    public static List<Row> run(int seconds, int repeats, long seed, int at, IntConsumer done)
+    public static List<Row> run(int seconds, int repeats, long seed, int parallelism, IntConsumer progress)
             throws IOException, InterruptedException {
         Scenario scenario = ScenarioReader.own(ROUTER.formatted(seconds), "calibration");
-        ExecutorService pool = Executors.newFixedThreadPool(at);
+        ExecutorService pool = Executors.newFixedThreadPool(parallelism);
         try {
             List<Callable<Pair>> runs = new ArrayList<>();
-            int[] over = {0};
+            int[] finished = {0};
             for (double load : LOADS) {
                 for (int i = 0; i < repeats; i++) {
-                    long own = seed + i;
+                    long runSeed = seed + i;
                     runs.add(() -> {
-                        RouterLoad virtual = VirtualRouter.play(scenario, own, load);
-                        RouterLoad sockets = SocketRouter.play(scenario, own, load);
-                        synchronized (over) {
-                            done.accept(++over[0]);
+                        RouterLoad virtual = VirtualRouter.play(scenario, runSeed, load);
+                        RouterLoad sockets = SocketRouter.play(scenario, runSeed, load);
+                        synchronized (finished) {
+                            progress.accept(++finished[0]);
                         }
                         return new Pair(load, virtual, sockets);
                     });
                 }
             }
             List<Pair> pairs = new ArrayList<>();
-            for (Future<Pair> f : pool.invokeAll(runs)) {
-                pairs.add(f.get());
+            for (Future<Pair> future : pool.invokeAll(runs)) {
+                pairs.add(future.get());
             }
             return rows(pairs);
         } catch (ExecutionException e) {
@@ -113,15 +113,15 @@
     private static List<Row> rows(List<Pair> pairs) {
         List<Row> rows = new ArrayList<>();
         for (double load : LOADS) {
-            List<Pair> at = pairs.stream().filter(p -> p.load == load).toList();
+            List<Pair> pairsAtLoad = pairs.stream().filter(p -> p.load == load).toList();
             for (double percentile : PERCENTILES) {
                 rows.add(new Row(
                         load,
                         percentile,
-                        median(at.stream()
+                        median(pairsAtLoad.stream()
                                 .mapToDouble(p -> p.virtual.latencies().getValueAtPercentile(percentile))
                                 .toArray()),
-                        median(at.stream()
+                        median(pairsAtLoad.stream()
                                 .mapToDouble(p -> p.sockets.latencies().getValueAtPercentile(percentile))
                                 .toArray())));
             }
@@ -131,16 +131,16 @@
 
     private static double median(double[] values) {
         Arrays.sort(values);
-        int half = values.length / 2;
-        return values.length % 2 == 1 ? values[half] : (values[half - 1] + values[half]) / 2;
+        int middle = values.length / 2;
+        return values.length % 2 == 1 ? values[middle] : (values[middle - 1] + values[middle]) / 2;
     }
 
     /** The rows as a table for people. */
     public static String table(List<Row> rows) {
-        StringBuilder text = new StringBuilder(
+        StringBuilder table = new StringBuilder(
                 String.format(Locale.ROOT, "%-6s %-5s %12s %12s %8s%n", "load", "p", "virtual", "loopback", "apart"));
         for (Row r : rows) {
-            text.append(String.format(
+            table.append(String.format(
                     Locale.ROOT,
                     "%-6s p%-4.0f %9.2f ms %9.2f ms %+7.1f%%%s%n",
                     Math.round(r.load * 100) + "%",
@@ -150,21 +150,21 @@
                     100 * r.apart(),
                     r.within() ? "" : "  over 10%"));
         }
-        return text.toString().stripTrailing();
+        return table.toString().stripTrailing();
     }
 
     /** The rows as a JSON array. */
     public static ArrayNode json(List<Row> rows) {
-        ArrayNode all = new ObjectMapper().createArrayNode();
+        ArrayNode array = new ObjectMapper().createArrayNode();
         for (Row r : rows) {
-            ObjectNode o = all.addObject();
-            o.put("load", r.load)
+            ObjectNode node = array.addObject();
+            node.put("load", r.load)
                     .put("percentile", r.percentile)
                     .put("virtual_us", r.virtual)
                     .put("loopback_us", r.sockets)
                     .put("apart", r.apart())
                     .put("within", r.within());
         }
-        return all;
+        return array;
     }
 }
--- a/emulator/src/main/java/baymoor/emulator/judge/Judge.java
+++ b/emulator/src/main/java/baymoor/emulator/judge/Judge.java
@@ -25,44 +25,44 @@
  */
 public final class Judge {
 
-    private static final long KEEP_MICROS = 30_000_000;
-    private static final double MOST_COLD_SHARE = 0.3;
-    private static final double MOST_COLD_EXCESS = 1.25;
-    private static final double TOLD_SHARE = 2.0 / 3;
-    private static final long LEFT_MICROS = 100_000;
-    private static final int LEFT_BY_CHANCE = 2;
+    private static final long RETENTION_MICROS = 30_000_000;
+    private static final double MAX_COLD_SHARE = 0.3;
+    private static final double MAX_COLD_EXCESS = 1.25;
+    private static final double MIN_INFORMED_SHARE = 2.0 / 3;
+    private static final long CLIENT_LEFT_GRACE_MICROS = 100_000;
+    private static final int TOLERATED_LATE_ATTEMPTS = 2;
 
-    private record EndedRequest(long at, RequestRecord request) {}
+    private record EndedRequest(long endedAt, RequestRecord request) {}
 
     private final LongSupplier clock;
     private final long epoch;
     private final Figures figures;
-    private final long slack;
-    private final Consumer<Broken> broken;
+    private final long slackMicros;
+    private final Consumer<Broken> violationListener;
     private final Map<String, RequestRecord> requests = new HashMap<>();
     private final Map<Long, RequestRecord> connections = new HashMap<>();
-    private final ArrayDeque<EndedRequest> ended = new ArrayDeque<>();
-    private final ArrayDeque<RequestRecord> suspects = new ArrayDeque<>();
+    private final ArrayDeque<EndedRequest> endedRequests = new ArrayDeque<>();
+    private final ArrayDeque<RequestRecord> possibleOverlaps = new ArrayDeque<>();
     private final ListedStates listedStates = new ListedStates();
     private final Map<Integer, Long> stalledUntil = new HashMap<>();
     /** Balancers that have died and not started again. */
-    private final Set<Integer> dead = new HashSet<>();
+    private final Set<Integer> deadBalancers = new HashSet<>();
 
-    private int begunForNobody;
+    private int lateAttempts;
     private final CRC32C checksum = new CRC32C();
     private final Map<Rule, Integer> counts = new EnumMap<>(Rule.class);
 
     /**
      * @param clock  microseconds of the world's clock; what is reported counts from now on
-     * @param slack  how far the driver's word may lag behind what happened; 0 where it sees all at once
-     * @param broken hears each break
+     * @param slackMicros  how far the driver's word may lag behind what happened; 0 where it sees all at once
+     * @param violationListener hears each break
      */
-    public Judge(LongSupplier clock, Figures figures, long slack, Consumer<Broken> broken) {
+    public Judge(LongSupplier clock, Figures figures, long slackMicros, Consumer<Broken> violationListener) {
         this.clock = clock;
         epoch = clock.getAsLong();
         this.figures = figures;
-        this.slack = slack;
-        this.broken = broken;
+        this.slackMicros = slackMicros;
+        this.violationListener = violationListener;
     }
 
     /** How often each rule broke. */
@@ -75,45 +75,46 @@
         return requests.size();
     }
 
-    private void breaks(Rule rule, RequestRecord request, String what) {
+    private void reportViolation(Rule rule, RequestRecord request, String what) {
         counts.merge(rule, 1, Integer::sum);
-        List<String> last = request == null ? List.of() : request.stepLines(epoch);
-        broken.accept(new Broken(rule, clock.getAsLong() - epoch, request == null ? "" : request.id, what, last));
+        List<String> last = request == null ? List.of() : request.formatSteps(epoch);
+        violationListener.accept(
+                new Broken(rule, clock.getAsLong() - epoch, request == null ? "" : request.id, what, last));
     }
 
-    private void step(RequestRecord request, String what, String where) {
+    private void recordStep(RequestRecord request, String what, String where) {
         request.step(clock.getAsLong(), what, where);
     }
 
-    private void over(RequestRecord request) {
-        if (!request.over) {
-            request.over = true;
-            ended.add(new EndedRequest(clock.getAsLong(), request));
+    private void markEnded(RequestRecord request) {
+        if (!request.ended) {
+            request.ended = true;
+            endedRequests.add(new EndedRequest(clock.getAsLong(), request));
         }
     }
 
     /** Forgets what is long over, and looks again at what only time can tell. */
     public void look() {
         long now = clock.getAsLong();
-        while (!ended.isEmpty() && now - ended.peek().at > KEEP_MICROS) {
-            RequestRecord request = ended.poll().request;
+        while (!endedRequests.isEmpty() && now - endedRequests.peek().endedAt > RETENTION_MICROS) {
+            RequestRecord request = endedRequests.poll().request;
             requests.remove(request.id, request);
             request.attempts.forEach(attempt -> connections.remove(attempt.connection, request));
         }
-        while (!suspects.isEmpty()) {
-            RequestRecord request = suspects.peek();
-            Attempt due = request.suspected();
-            if (due != null && now - due.suspectedAt <= slack) {
+        while (!possibleOverlaps.isEmpty()) {
+            RequestRecord request = possibleOverlaps.peek();
+            Attempt overlap = request.firstSuspectedOverlap();
+            if (overlap != null && now - overlap.overlapSuspectedAt <= slackMicros) {
                 return;
             }
-            suspects.poll();
-            if (due != null) {
-                due.suspected = false;
-                if (due.out) {
-                    breaks(
+            possibleOverlaps.poll();
+            if (overlap != null) {
+                overlap.overlapSuspected = false;
+                if (overlap.outstanding) {
+                    reportViolation(
                             Rule.ONE_RELAY_AT_A_TIME,
                             request,
-                            "still out at " + due.host + " " + slack + " us after the next attempt had come");
+                            "still out at " + overlap.host + " " + slackMicros + " us after the next attempt had come");
                 }
             }
         }
@@ -122,21 +123,21 @@
     // ---- clients
 
     /** A client has written a request and gives it up at a time. */
-    public void asked(String id, RequestClass kind, long giveUpMicros) {
-        RequestRecord request = new RequestRecord(id, kind, giveUpMicros);
-        step(request, "asked", kind.name());
+    public void asked(String id, RequestClass requestClass, long deadlineMicros) {
+        RequestRecord request = new RequestRecord(id, requestClass, deadlineMicros);
+        recordStep(request, "asked", requestClass.name());
         requests.put(id, request);
     }
 
     /** A balancer's process has the request. */
     public void taken(String id, int balancer) {
         RequestRecord request = requests.get(id);
-        if (request != null && !request.over) {
-            request.taken = true;
+        if (request != null && !request.ended) {
+            request.accepted = true;
             request.balancer = balancer;
             // Seen: on sockets the kernel takes a request in for a process that was killed 5 ms before.
-            request.excused |= dead.contains(balancer);
-            step(request, "taken", "by balancer " + balancer);
+            request.exempt |= deadBalancers.contains(balancer);
+            recordStep(request, "taken", "by balancer " + balancer);
         }
     }
 
@@ -146,29 +147,32 @@
         if (request == null) {
             return;
         }
-        step(request, "answered", kind.name());
-        if (request.over) {
-            breaks(Rule.ONE_ANSWER, request, "a second answer");
+        recordStep(request, "answered", kind.name());
+        if (request.ended) {
+            reportViolation(Rule.ONE_ANSWER, request, "a second answer");
             return;
         }
-        over(request);
+        markEnded(request);
         if (kind == AnswerKind.SERVED) {
-            if (!request.made.contains(sum(value))) {
-                breaks(Rule.TRUE_VALUE, request, "served what no host made for it");
+            if (!request.validChecksums.contains(checksumOf(value))) {
+                reportViolation(Rule.TRUE_VALUE, request, "served what no host made for it");
             }
-        } else if (kind == AnswerKind.REFUSED && request.kind.effect() == Effect.UNSAFE && request.mayHaveRun()) {
-            breaks(Rule.HARMLESS_REFUSAL, request, "an unsafe request that may have run was answered with a back-off");
+        } else if (kind == AnswerKind.REFUSED
+                && request.requestClass.effect() == Effect.UNSAFE
+                && request.mayHaveExecuted()) {
+            reportViolation(
+                    Rule.HARMLESS_REFUSAL, request, "an unsafe request that may have run was answered with a back-off");
         }
     }
 
     /** The connection ended with the request open: {@code byBalancer}, a process that lives, or by what else befell. */
     public void lost(String id, boolean byBalancer) {
         RequestRecord request = requests.get(id);
-        if (request != null && !request.over) {
-            step(request, "connection ended", byBalancer ? "by the balancer" : "by something else");
-            over(request);
-            if (byBalancer && request.taken && !request.excused) {
-                breaks(Rule.ONE_ANSWER, request, "its connection was closed without an answer");
+        if (request != null && !request.ended) {
+            recordStep(request, "connection ended", byBalancer ? "by the balancer" : "by something else");
+            markEnded(request);
+            if (byBalancer && request.accepted && !request.exempt) {
+                reportViolation(Rule.ONE_ANSWER, request, "its connection was closed without an answer");
             }
         }
     }
@@ -176,28 +180,28 @@
     /** The client left before its time was up. */
     public void left(String id) {
         RequestRecord request = requests.get(id);
-        if (request != null && !request.over) {
-            step(request, "the client left", "");
-            request.leftAt = clock.getAsLong();
-            over(request);
+        if (request != null && !request.ended) {
+            recordStep(request, "the client left", "");
+            request.clientLeftAt = clock.getAsLong();
+            markEnded(request);
         }
     }
 
     /** The client's time is up, and the slack that an answer is allowed beyond it, and there is none. */
     public void unanswered(String id) {
         RequestRecord request = requests.get(id);
-        if (request == null || request.over) {
+        if (request == null || request.ended) {
             return;
         }
-        step(request, "given up", "");
-        request.leftAt = clock.getAsLong();
-        over(request);
-        boolean stalled = stalledUntil.getOrDefault(request.balancer, Long.MIN_VALUE) >= request.giveUp;
-        if (request.taken && !request.excused && !stalled) {
-            breaks(
+        recordStep(request, "given up", "");
+        request.clientLeftAt = clock.getAsLong();
+        markEnded(request);
+        boolean stalled = stalledUntil.getOrDefault(request.balancer, Long.MIN_VALUE) >= request.deadlineMicros;
+        if (request.accepted && !request.exempt && !stalled) {
+            reportViolation(
                     Rule.IN_TIME,
                     request,
-                    "no answer " + (clock.getAsLong() - request.giveUp) + " us after its time was up");
+                    "no answer " + (clock.getAsLong() - request.deadlineMicros) + " us after its time was up");
         }
     }
 
@@ -206,10 +210,10 @@
     /** A balancer's process has died, or begins to end: it owes nothing for what it had taken. */
     public void died(int balancer) {
         listedStates.forget(balancer);
-        dead.add(balancer);
+        deadBalancers.add(balancer);
         for (RequestRecord request : requests.values()) {
-            if (!request.over && request.balancer == balancer) {
-                request.excused = true;
+            if (!request.ended && request.balancer == balancer) {
+                request.exempt = true;
             }
         }
     }
@@ -220,7 +224,7 @@
      */
     public void started(int balancer) {
         listedStates.forget(balancer);
-        dead.remove(balancer);
+        deadBalancers.remove(balancer);
     }
 
     /** A balancer's process is held up from outside until a time. */
@@ -235,86 +239,92 @@
             return;
         }
         long now = clock.getAsLong();
-        step(request, "relayed", "to " + host + " by balancer " + balancer + " on connection " + connection);
-        boolean late =
-                request.leftAt < now - LEFT_MICROS - slack && stalledUntil.getOrDefault(balancer, Long.MIN_VALUE) < now;
-        if (late && ++begunForNobody > LEFT_BY_CHANCE) {
-            breaks(
+        recordStep(request, "relayed", "to " + host + " by balancer " + balancer + " on connection " + connection);
+        boolean late = request.clientLeftAt < now - CLIENT_LEFT_GRACE_MICROS - slackMicros
+                && stalledUntil.getOrDefault(balancer, Long.MIN_VALUE) < now;
+        if (late && ++lateAttempts > TOLERATED_LATE_ATTEMPTS) {
+            reportViolation(
                     Rule.LEFT_ALONE,
                     request,
-                    "sent to " + host + " " + (now - request.leftAt) + " us after its client had left, case "
-                            + begunForNobody);
+                    "sent to " + host + " " + (now - request.clientLeftAt) + " us after its client had left, case "
+                            + lateAttempts);
         }
         for (Attempt attempt : request.attempts) {
-            if (attempt.out && slack == 0) {
-                breaks(Rule.ONE_RELAY_AT_A_TIME, request, "sent to " + host + " while it is out at " + attempt.host);
-            } else if (attempt.out) {
-                attempt.suspected = true;
-                attempt.suspectedAt = now;
-                suspects.add(request);
+            if (attempt.outstanding && slackMicros == 0) {
+                reportViolation(
+                        Rule.ONE_RELAY_AT_A_TIME, request, "sent to " + host + " while it is out at " + attempt.host);
+            } else if (attempt.outstanding) {
+                attempt.overlapSuspected = true;
+                attempt.overlapSuspectedAt = now;
+                possibleOverlaps.add(request);
             }
             // Where the word of a refusal may come late, the truth of what ran has to do.
-            if (!attempt.notRun && request.kind.effect() == Effect.UNSAFE && slack == 0) {
-                breaks(Rule.UNSAFE_ONCE, request, "sent to " + host + " though it may have run at " + attempt.host);
+            if (!attempt.notExecuted && request.requestClass.effect() == Effect.UNSAFE && slackMicros == 0) {
+                reportViolation(
+                        Rule.UNSAFE_ONCE, request, "sent to " + host + " though it may have run at " + attempt.host);
             }
         }
-        if (request.kind.effect() == Effect.KEYED
-                && request.firstMayHaveRun >= 0
-                && now - request.firstMayHaveRun > request.kind.windowMicros() + slack) {
-            breaks(
+        if (request.requestClass.effect() == Effect.KEYED
+                && request.firstPossibleExecutionAt >= 0
+                && now - request.firstPossibleExecutionAt > request.requestClass.windowMicros() + slackMicros) {
+            reportViolation(
                     Rule.KEYED_ONCE,
                     request,
-                    "sent again " + (now - request.firstMayHaveRun) + " us after an attempt that may have run");
+                    "sent again " + (now - request.firstPossibleExecutionAt)
+                            + " us after an attempt that may have run");
         }
         OptionalLong stoppedAt = listedStates.stoppedAt(balancer, host);
-        if (stoppedAt.isPresent() && now - stoppedAt.getAsLong() > figures.drainGraceMicros() + slack) {
-            breaks(
+        if (stoppedAt.isPresent() && now - stoppedAt.getAsLong() > figures.drainGraceMicros() + slackMicros) {
+            reportViolation(
                     Rule.DRAINED,
                     request,
                     "sent to " + host + " " + (now - stoppedAt.getAsLong()) + " us after it was told to stop");
         }
         request.attempts.add(new Attempt(host, connection));
-        request.firstMayHaveRun = request.firstMayHaveRun < 0 ? now : request.firstMayHaveRun;
+        request.firstPossibleExecutionAt =
+                request.firstPossibleExecutionAt < 0 ? now : request.firstPossibleExecutionAt;
         connections.put(connection, request);
     }
 
-    private int sum(byte[] value) {
+    private int checksumOf(byte[] value) {
         checksum.reset();
         checksum.update(value);
         return (int) checksum.getValue();
     }
 
-    private Attempt onConnection(long connection) {
-        return connections.containsKey(connection) ? connections.get(connection).onConnection(connection) : null;
+    private Attempt attemptOnConnection(long connection) {
+        return connections.containsKey(connection)
+                ? connections.get(connection).lastAttemptOnConnection(connection)
+                : null;
     }
 
     /** Bytes of a host's answer have come to the balancer. */
     public void answerIn(long connection) {
-        Attempt attempt = onConnection(connection);
+        Attempt attempt = attemptOnConnection(connection);
         if (attempt != null && attempt.answered) {
-            attempt.out = false;
+            attempt.outstanding = false;
         }
     }
 
     /** The connection of an attempt is over at the balancer's side. */
     public void attemptClosed(long connection) {
-        Attempt attempt = onConnection(connection);
+        Attempt attempt = attemptOnConnection(connection);
         if (attempt != null) {
-            attempt.out = false;
+            attempt.outstanding = false;
             connections.remove(connection);
         }
     }
 
     // ---- hosts
 
-    /** A host has answered an attempt in whole. {@code notRun}: with a miss, or turned away, so that nothing ran. */
-    public void hostAnswered(String id, String host, boolean notRun) {
+    /** A host has answered an attempt in whole. {@code notExecuted}: with a miss, or turned away, so that nothing ran. */
+    public void hostAnswered(String id, String host, boolean notExecuted) {
         RequestRecord request = requests.get(id);
         if (request == null) {
             return;
         }
-        step(request, notRun ? "turned away or missed" : "host answered", "at " + host);
-        request.hostAnswered(host, notRun, slack == 0);
+        recordStep(request, notExecuted ? "turned away or missed" : "host answered", "at " + host);
+        request.hostAnswered(host, notExecuted, slackMicros == 0);
     }
 
     /** The request has had its effect at a host. */
@@ -323,17 +333,17 @@
         if (request == null) {
             return;
         }
-        request.runs++;
-        request.firstRan = request.runs == 1 ? clock.getAsLong() : request.firstRan;
-        step(request, "ran", "at " + host);
-        if (request.runs > 1 && request.kind.effect() == Effect.UNSAFE) {
-            breaks(Rule.UNSAFE_ONCE, request, "ran " + request.runs + " times");
-        } else if (request.runs > 1
-                && request.kind.effect() == Effect.KEYED
-                && clock.getAsLong() - request.firstRan <= request.kind.windowMicros()) {
+        request.executions++;
+        request.firstExecutedAt = request.executions == 1 ? clock.getAsLong() : request.firstExecutedAt;
+        recordStep(request, "ran", "at " + host);
+        if (request.executions > 1 && request.requestClass.effect() == Effect.UNSAFE) {
+            reportViolation(Rule.UNSAFE_ONCE, request, "ran " + request.executions + " times");
+        } else if (request.executions > 1
+                && request.requestClass.effect() == Effect.KEYED
+                && clock.getAsLong() - request.firstExecutedAt <= request.requestClass.windowMicros()) {
             // Later the hosts drop no repeat any more: one that was sent in time, and waited there, is not the
             // balancer's doing.
-            breaks(Rule.KEYED_ONCE, request, "had its effect " + request.runs + " times");
+            reportViolation(Rule.KEYED_ONCE, request, "had its effect " + request.executions + " times");
         }
     }
 
@@ -341,7 +351,7 @@
     public void made(String id, byte[] value) {
         RequestRecord request = requests.get(id);
         if (request != null) {
-            request.made.add(sum(value));
+            request.validChecksums.add(checksumOf(value));
         }
     }
 
@@ -354,7 +364,7 @@
      * @param sinceMicros when it last started, 0 for long ago
      */
     public void told(int balancer, String host, boolean stopped, long sinceMicros) {
-        listedStates.told(balancer, host, stopped, sinceMicros, clock.getAsLong());
+        listedStates.update(balancer, host, stopped, sinceMicros, clock.getAsLong());
     }
 
     /** Whether a balancer was told of a host's last start. */
@@ -362,17 +372,17 @@
         return listedStates.knowsStart(balancer, host, sinceMicros);
     }
 
-    /** A cold router fell over; {@code fromTold}: share of the work of those who knew of its start. */
-    public void tipped(String host, double fromTold) {
-        if (fromTold >= TOLD_SHARE) {
-            breaks(
+    /** A cold router fell over; {@code informedShare}: share of the work of those who knew of its start. */
+    public void tipped(String host, double informedShare) {
+        if (informedShare >= MIN_INFORMED_SHARE) {
+            reportViolation(
                     Rule.COLD_ROUTER,
                     null,
                     String.format(
                             Locale.ROOT,
                             "%s fell over, %.0f%% of its work from balancers that knew of its start",
                             host,
-                            fromTold * 100));
+                            informedShare * 100));
         }
     }
 
@@ -381,8 +391,8 @@
      * over what is due to them when their weights are cut by the stated warm-up.
      */
     public void originFell(double coldShare, double excess) {
-        if (coldShare > MOST_COLD_SHARE && excess > MOST_COLD_EXCESS) {
-            breaks(
+        if (coldShare > MAX_COLD_SHARE && excess > MAX_COLD_EXCESS) {
+            reportViolation(
                     Rule.ORIGIN_SPARED,
                     null,
                     String.format(
@@ -394,7 +404,7 @@
     }
 
     /** The balancer's own code found something wrong. */
-    public void invariant(String who, String what) {
-        breaks(Rule.INVARIANT, null, who + ": " + what);
+    public void invariant(String component, String what) {
+        reportViolation(Rule.INVARIANT, null, component + ": " + what);
     }
 }
--- a/emulator/src/main/java/baymoor/emulator/report/Tally.java
+++ b/emulator/src/main/java/baymoor/emulator/report/Tally.java
@@ -7,9 +7,9 @@
 /** What a run came to: counts, latencies as clients see them, and a row for each second. */
 public final class Tally {
 
-    private static final long MOST_MICROS = 60_000_000;
-    private static final int DIGITS = 3;
-    private static final int WORST_SECONDS = 10;
+    private static final long MAX_LATENCY_MICROS = 60_000_000;
+    private static final int SIGNIFICANT_DIGITS = 3;
+    private static final int WORST_WINDOW_SECONDS = 10;
 
     /** One second: first tries asked in it, by what became of them in the end. */
     public static final class Second {
@@ -21,7 +21,7 @@
         public double worthInTime;
     }
 
-    private final Histogram latencies = new Histogram(MOST_MICROS, DIGITS);
+    private final Histogram latencies = new Histogram(MAX_LATENCY_MICROS, SIGNIFICANT_DIGITS);
     private final List<Second> seconds = new ArrayList<>();
     private long tries;
     private long asked;
@@ -43,12 +43,12 @@
     private double worthAsked;
     private double worthInTime;
 
-    private Second second(long micros) {
-        int at = (int) Math.max(0, micros / 1_000_000);
-        while (seconds.size() <= at) {
+    private Second secondAt(long micros) {
+        int index = (int) Math.max(0, micros / 1_000_000);
+        while (seconds.size() <= index) {
             seconds.add(new Second());
         }
-        return seconds.get(at);
+        return seconds.get(index);
     }
 
     /** How a client's request ended, all its tries taken together. */
@@ -80,32 +80,32 @@
             left++;
             return;
         }
-        Second s = second(askedAt);
+        Second second = secondAt(askedAt);
         asked++;
-        s.asked++;
+        second.asked++;
         worthAsked += worth;
-        s.worthAsked += worth;
+        second.worthAsked += worth;
         switch (end) {
             case IN_TIME -> {
                 inTime++;
-                s.inTime++;
+                second.inTime++;
                 worthInTime += worth;
-                s.worthInTime += worth;
+                second.worthInTime += worth;
             }
             case LATE -> late++;
             case REFUSED -> {
                 refused++;
-                s.refused++;
+                second.refused++;
             }
             case FAILED -> {
                 failed++;
-                s.failed++;
+                second.failed++;
             }
             case LOST -> lost++;
             default -> unreached++;
         }
         if (end == End.IN_TIME || end == End.LATE) {
-            latencies.recordValue(Math.min(MOST_MICROS, Math.max(0, latencyMicros)));
+            latencies.recordValue(Math.min(MAX_LATENCY_MICROS, Math.max(0, latencyMicros)));
         }
     }
 
@@ -247,15 +247,15 @@
     /** The same in the worst ten seconds on end. */
     public double worstShare() {
         double worst = 1;
-        int span = Math.min(WORST_SECONDS, seconds.size());
-        for (int from = 0; from + span <= seconds.size() && span > 0; from++) {
-            double all = 0;
-            double good = 0;
-            for (Second s : seconds.subList(from, from + span)) {
-                all += s.worthAsked;
-                good += s.worthInTime;
+        int windowSeconds = Math.min(WORST_WINDOW_SECONDS, seconds.size());
+        for (int from = 0; from + windowSeconds <= seconds.size() && windowSeconds > 0; from++) {
+            double windowAsked = 0;
+            double windowInTime = 0;
+            for (Second second : seconds.subList(from, from + windowSeconds)) {
+                windowAsked += second.worthAsked;
+                windowInTime += second.worthInTime;
             }
-            worst = all == 0 ? worst : Math.min(worst, good / all);
+            worst = windowAsked == 0 ? worst : Math.min(worst, windowInTime / windowAsked);
         }
         return worst;
     }
--- a/emulator/src/main/java/baymoor/emulator/sockets/PeerPaths.java
+++ b/emulator/src/main/java/baymoor/emulator/sockets/PeerDatagramForwarder.java
@@ -16,41 +16,42 @@
  * The datagrams of balancers to each other, by way of the fabric. Each balancer knows each other one at an address of its own: it
  * sends there, and what comes from the other comes from there too.
  */
-final class PeerPaths {
+final class PeerDatagramForwarder {
 
     /** Who sends to an address, and to whom that goes on. */
-    private record Path(int from, int to) {}
+    private record Route(int from, int to) {}
 
-    private final Map<SocketAddress, Path> paths = new HashMap<>();
+    private final Map<SocketAddress, Route> routes = new HashMap<>();
     private final NioDatagramAcceptor acceptor = new NioDatagramAcceptor();
     private final SocketPlatform platform;
 
-    private PeerPaths(SocketPlatform platform) {
+    private PeerDatagramForwarder(SocketPlatform platform) {
         this.platform = platform;
     }
 
     /** Opens the paths between all balancers. */
-    static PeerPaths open(SocketPlatform platform, int balancers, int zones, Fabric fabric, DecisionThread thread)
+    static PeerDatagramForwarder open(
+            SocketPlatform platform, int balancers, int zones, Fabric fabric, DecisionThread thread)
             throws IOException {
-        PeerPaths all = new PeerPaths(platform);
+        PeerDatagramForwarder forwarder = new PeerDatagramForwarder(platform);
         for (int from = 0; from < balancers; from++) {
             for (int to = 0; to < balancers; to++) {
                 if (from != to) {
-                    all.paths.put(platform.peer(to, from), new Path(from, to));
+                    forwarder.routes.put(platform.peer(to, from), new Route(from, to));
                 }
             }
         }
-        all.acceptor.getSessionConfig().setReuseAddress(true);
-        all.acceptor.setHandler(new IoHandlerAdapter() {
+        forwarder.acceptor.getSessionConfig().setReuseAddress(true);
+        forwarder.acceptor.setHandler(new IoHandlerAdapter() {
             @Override
             public void messageReceived(IoSession session, Object message) {
                 IoBuffer buffer = (IoBuffer) message;
                 byte[] bytes = new byte[buffer.remaining()];
                 buffer.get(bytes);
-                Path path = all.paths.get(session.getLocalAddress());
-                if (path != null) {
-                    thread.post(
-                            () -> fabric.datagram(path.from() % zones, path.to() % zones, () -> all.pass(path, bytes)));
+                Route route = forwarder.routes.get(session.getLocalAddress());
+                if (route != null) {
+                    thread.post(() -> fabric.datagram(
+                            route.from() % zones, route.to() % zones, () -> forwarder.forward(route, bytes)));
                 }
             }
 
@@ -59,15 +60,15 @@
                 session.closeNow(); // whoever it was for is not there now, as with any datagram
             }
         });
-        if (!all.paths.isEmpty()) {
-            all.acceptor.bind(all.paths.keySet());
+        if (!forwarder.routes.isEmpty()) {
+            forwarder.acceptor.bind(forwarder.routes.keySet());
         }
-        return all;
+        return forwarder;
     }
 
-    private void pass(Path path, byte[] bytes) {
-        InetSocketAddress to = platform.peer(path.to(), path.to());
-        acceptor.newSession(to, platform.peer(path.from(), path.to())).write(IoBuffer.wrap(bytes));
+    private void forward(Route route, byte[] bytes) {
+        InetSocketAddress to = platform.peer(route.to(), route.to());
+        acceptor.newSession(to, platform.peer(route.from(), route.to())).write(IoBuffer.wrap(bytes));
     }
 
     void close() {
--- a/emulator/src/main/java/baymoor/emulator/sockets/ProcessFleet.java
+++ b/emulator/src/main/java/baymoor/emulator/sockets/ProcessFleet.java
@@ -20,7 +20,7 @@
 public final class ProcessFleet implements Fleet {
 
     private static final Logger LOG = LoggerFactory.getLogger(ProcessFleet.class);
-    private static final long KILL_AFTER_SECONDS = 5;
+    private static final long TERMINATION_TIMEOUT_SECONDS = 5;
 
     private final Scenario scenario;
     private final SocketPlatform platform;
@@ -31,16 +31,16 @@
     private final Watcher watcher;
     private final UniformRandomProvider seeds;
     private final Path folder;
-    private final Path home;
+    private final Path workingDirectory;
     private final String command;
     private final List<Balancer> balancers = new ArrayList<>();
-    private volatile boolean ending;
+    private volatile boolean closing;
 
     private static final class Balancer {
         final int number;
         volatile Process process;
-        boolean up;
-        boolean expected;
+        boolean ready;
+        boolean exitExpected;
 
         Balancer(int number) {
             this.number = number;
@@ -49,7 +49,7 @@
 
     /**
      * @param folder  for configurations and logs
-     * @param home    where the command is started
+     * @param workingDirectory    where the command is started
      * @param command that serves, for a shell
      */
     public ProcessFleet(
@@ -62,7 +62,7 @@
             Watcher watcher,
             UniformRandomProvider seeds,
             Path folder,
-            Path home,
+            Path workingDirectory,
             String command) {
         this.scenario = scenario;
         this.platform = platform;
@@ -73,7 +73,7 @@
         this.watcher = watcher;
         this.seeds = seeds;
         this.folder = folder;
-        this.home = home;
+        this.workingDirectory = workingDirectory;
         this.command = command;
         IntStream.range(0, scenario.balancers().count()).forEach(b -> balancers.add(new Balancer(b)));
     }
@@ -84,12 +84,12 @@
     }
 
     private void start(Balancer b) {
-        if (ending) {
+        if (closing) {
             return;
         }
         world.starts(b.number);
         try {
-            ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", command).directory(home.toFile());
+            ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", command).directory(workingDirectory.toFile());
             builder.environment()
                     .put(
                             "ROUTER_CONFIG",
@@ -101,35 +101,35 @@
                             folder.resolve("n" + b.number + ".log").toFile()));
             Process process = builder.start();
             b.process = process;
-            b.expected = false;
-            process.onExit().thenRun(() -> thread.post(() -> ended(b, process)));
+            b.exitExpected = false;
+            process.onExit().thenRun(() -> thread.post(() -> handleExit(b, process)));
         } catch (IOException e) {
             judge.invariant("n" + b.number, "can't be started: " + e.getMessage());
             return;
         }
-        awaitAnswer(b, b.process);
+        awaitReady(b, b.process);
     }
 
-    private void ended(Balancer b, Process process) {
-        if (b.process != process || ending) {
+    private void handleExit(Balancer b, Process process) {
+        if (b.process != process || closing) {
             return;
         }
-        if (!b.expected) {
+        if (!b.exitExpected) {
             judge.invariant("n" + b.number, "ended by itself with " + process.exitValue());
         }
-        b.up = false;
+        b.ready = false;
         watcher.ended(b.number);
     }
 
-    private void awaitAnswer(Balancer b, Process process) {
-        Call.until(
+    private void awaitReady(Balancer b, Process process) {
+        ReadinessProbe.pingUntilAnswered(
                 net,
                 thread,
                 platform.balancer(b.number),
-                () -> b.process == process && process.isAlive() && !ending,
+                () -> b.process == process && process.isAlive() && !closing,
                 () -> {
-                    if (b.process == process && !b.expected) {
-                        b.up = true;
+                    if (b.process == process && !b.exitExpected) {
+                        b.ready = true;
                         LOG.atDebug().addKeyValue("instance", "n" + b.number).log("ready");
                         watcher.ready(b.number);
                     }
@@ -137,8 +137,8 @@
     }
 
     /** Whether all of them run and answer. */
-    public boolean allUp() {
-        return balancers.stream().allMatch(b -> b.up);
+    public boolean allReady() {
+        return balancers.stream().allMatch(b -> b.ready);
     }
 
     @Override
@@ -148,7 +148,7 @@
 
     @Override
     public boolean up(int balancer) {
-        return balancers.get(balancer).up;
+        return balancers.get(balancer).ready;
     }
 
     @Override
@@ -158,8 +158,8 @@
             kill(balancer, 0, false);
             return;
         }
-        b.up = false;
-        b.expected = true;
+        b.ready = false;
+        b.exitExpected = true;
         watcher.ending(balancer);
         Process process = b.process;
         process.toHandle().destroy();
@@ -170,8 +170,8 @@
     public void kill(int balancer, long forMicros, boolean silently) {
         Balancer b = balancers.get(balancer);
         judge.died(balancer);
-        b.up = false;
-        b.expected = true;
+        b.ready = false;
+        b.exitExpected = true;
         Process process = b.process;
         process.destroyForcibly();
         process.onExit().thenRun(() -> thread.post(() -> thread.after(forMicros, () -> start(b))));
@@ -181,11 +181,11 @@
     public void stall(int balancer, long forMicros) {
         Process process = balancers.get(balancer).process;
         judge.stalled(balancer, thread.now() + forMicros);
-        signal(process, "-STOP");
-        thread.after(forMicros, () -> signal(process, "-CONT"));
+        sendSignal(process, "-STOP");
+        thread.after(forMicros, () -> sendSignal(process, "-CONT"));
     }
 
-    private void signal(Process process, String signal) {
+    private void sendSignal(Process process, String signal) {
         try {
             new ProcessBuilder("/bin/kill", signal, Long.toString(process.pid())).start();
         } catch (IOException e) {
@@ -195,14 +195,14 @@
 
     /** Ends all of them, by SIGTERM first, and waits until they are gone. */
     public void close() throws InterruptedException {
-        ending = true;
+        closing = true;
         for (Balancer b : balancers) {
             if (b.process != null) {
                 b.process.toHandle().destroy();
             }
         }
         for (Balancer b : balancers) {
-            if (b.process != null && !b.process.waitFor(KILL_AFTER_SECONDS, TimeUnit.SECONDS)) {
+            if (b.process != null && !b.process.waitFor(TERMINATION_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
                 b.process.destroyForcibly().waitFor();
             }
         }
--- /dev/null
+++ b/emulator/src/main/java/baymoor/emulator/sockets/ReadinessProbe.java
@@ -0,0 +1,66 @@
+package baymoor.emulator.sockets;
+
+import baymoor.link.Dialer;
+import baymoor.link.Link;
+import baymoor.link.LinkEvents;
+import baymoor.link.Time;
+import baymoor.resp.RespWriter;
+import java.net.InetSocketAddress;
+import java.nio.charset.StandardCharsets;
+import java.util.function.BooleanSupplier;
+
+/** Calls a balancer with PING, again and again, until it answers or nobody wants to know any more. */
+final class ReadinessProbe implements LinkEvents {
+
+    private static final long RETRY_DELAY_MICROS = 20_000;
+
+    private final Dialer dialer;
+    private final Time time;
+    private final InetSocketAddress address;
+    private final BooleanSupplier stillNeeded;
+    private final Runnable onAnswered;
+    private Link link;
+    private boolean pongReceived;
+
+    private ReadinessProbe(
+            Dialer dialer, Time time, InetSocketAddress address, BooleanSupplier stillNeeded, Runnable onAnswered) {
+        this.dialer = dialer;
+        this.time = time;
+        this.address = address;
+        this.stillNeeded = stillNeeded;
+        this.onAnswered = onAnswered;
+    }
+
+    static void pingUntilAnswered(
+            Dialer dialer, Time time, InetSocketAddress address, BooleanSupplier stillNeeded, Runnable onAnswered) {
+        if (stillNeeded.getAsBoolean()) {
+            ReadinessProbe probe = new ReadinessProbe(dialer, time, address, stillNeeded, onAnswered);
+            probe.link = dialer.dial(address, probe);
+        }
+    }
+
+    @Override
+    public void opened() {
+        link.write(RespWriter.command(RespWriter.ascii("PING")));
+    }
+
+    @Override
+    public void received(byte[] bytes) {
+        pongReceived = new String(bytes, StandardCharsets.US_ASCII).startsWith("+PONG");
+        link.close();
+    }
+
+    @Override
+    public void written() {
+        // The answer tells.
+    }
+
+    @Override
+    public void closed() {
+        if (pongReceived) {
+            onAnswered.run();
+        } else {
+            time.after(RETRY_DELAY_MICROS, () -> pingUntilAnswered(dialer, time, address, stillNeeded, onAnswered));
+        }
+    }
+}
--- a/emulator/src/main/java/baymoor/emulator/sockets/SocketPlatform.java
+++ b/emulator/src/main/java/baymoor/emulator/sockets/SocketPlatform.java
@@ -22,49 +22,49 @@
  */
 public final class SocketPlatform implements Platform {
 
-    private static final int BALANCERS_NET = 1;
-    private static final int FIRST_VIEW = 16;
-    private static final int MOST_VIEWS = 200;
-    private static final long SLACK_MICROS = 50_000;
-    private static final int TRIES = 50;
+    private static final int BALANCER_NETWORK = 1;
+    private static final int FIRST_HOST_NETWORK = 16;
+    private static final int MAX_BALANCERS = 200;
+    private static final long REPORTING_LAG_MICROS = 50_000;
+    private static final int MAX_PORT_ATTEMPTS = 50;
 
     private final DecisionThread thread;
     private final MinaNet net;
     private final int balancers;
     private final int zones;
-    private final boolean talk;
+    private final boolean peersEnabled;
     private final Fabric fabric;
     private final int port;
-    private final int own;
-    private final long unixApart;
-    private PeerPaths peers;
+    private final int processOctet;
+    private final long unixOffsetMillis;
+    private PeerDatagramForwarder peerForwarder;
 
     /** @param streams from which the fabric's chance comes */
     public SocketPlatform(DecisionThread thread, MinaNet net, Scenario scenario, Streams streams) throws IOException {
         balancers = scenario.balancers().count();
         zones = scenario.zones().size();
-        talk = scenario.balancers().peers();
-        if (balancers > MOST_VIEWS) {
-            throw new IOException("on sockets a world has " + MOST_VIEWS + " balancers at the most");
+        peersEnabled = scenario.balancers().peers();
+        if (balancers > MAX_BALANCERS) {
+            throw new IOException("on sockets a world has " + MAX_BALANCERS + " balancers at the most");
         }
         this.thread = thread;
         this.net = net;
         fabric = new Fabric(scenario.net(), zones, thread, streams.of("fabric"));
-        own = (int) (ProcessHandle.current().pid() % 250) + 1;
+        processOctet = (int) (ProcessHandle.current().pid() % 250) + 1;
         port = freePort();
-        unixApart = System.currentTimeMillis() - thread.read() / 1000;
+        unixOffsetMillis = System.currentTimeMillis() - thread.read() / 1000;
     }
 
     /** Opens the ways on which the balancers' datagrams go, where they tell each other anything. */
     void openPeers() throws IOException {
-        if (talk) {
-            peers = PeerPaths.open(this, balancers, zones, fabric, thread);
+        if (peersEnabled) {
+            peerForwarder = PeerDatagramForwarder.open(this, balancers, zones, fabric, thread);
         }
     }
 
     void close() {
-        if (peers != null) {
-            peers.close();
+        if (peerForwarder != null) {
+            peerForwarder.close();
         }
     }
 
@@ -75,27 +75,27 @@
 
     /** A port that is free at the balancers' addresses and one above it, where they talk to each other. */
     private int freePort() throws IOException {
-        IOException last = null;
-        for (int i = 0; i < TRIES; i++) {
-            try (ServerSocket any = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
-                int found = any.getLocalPort();
-                if (found < 65_535) {
-                    try (ServerSocket at = new ServerSocket(
-                            found, 1, address(BALANCERS_NET, 0, 1).getAddress())) {
-                        return at.getLocalPort();
+        IOException lastFailure = null;
+        for (int i = 0; i < MAX_PORT_ATTEMPTS; i++) {
+            try (ServerSocket candidate = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
+                int candidatePort = candidate.getLocalPort();
+                if (candidatePort < 65_535) {
+                    try (ServerSocket confirmed = new ServerSocket(
+                            candidatePort, 1, address(BALANCER_NETWORK, 0, 1).getAddress())) {
+                        return confirmed.getLocalPort();
                     }
                 }
             } catch (IOException e) {
-                last = e;
+                lastFailure = e;
             }
         }
-        throw new IOException("no free port on loopback", last);
+        throw new IOException("no free port on loopback", lastFailure);
     }
 
     private InetSocketAddress address(int network, int number, int at) {
         try {
-            byte[] figures = {127, (byte) network, (byte) own, (byte) (number + 1)};
-            return new InetSocketAddress(InetAddress.getByAddress(figures), at);
+            byte[] octets = {127, (byte) network, (byte) processOctet, (byte) (number + 1)};
+            return new InetSocketAddress(InetAddress.getByAddress(octets), at);
         } catch (UnknownHostException e) {
             throw new IllegalStateException("four bytes are an address", e);
         }
@@ -138,7 +138,7 @@
 
     @Override
     public InetSocketAddress balancer(int number) {
-        return address(BALANCERS_NET, number, port);
+        return address(BALANCER_NETWORK, number, port);
     }
 
     @Override
@@ -149,18 +149,20 @@
     @Override
     public InetSocketAddress peer(int number, int seenBy) {
         // Others are known by the fabric's addresses, which are free for datagrams where hosts listen for connections.
-        return number == seenBy ? address(BALANCERS_NET, number, port + 1) : address(FIRST_VIEW + seenBy, number, port);
+        return number == seenBy
+                ? address(BALANCER_NETWORK, number, port + 1)
+                : address(FIRST_HOST_NETWORK + seenBy, number, port);
     }
 
     @Override
     public InetSocketAddress address(int place, int balancer) {
         int group = place / 250;
-        return address(FIRST_VIEW + balancer, place % 250, port + group);
+        return address(FIRST_HOST_NETWORK + balancer, place % 250, port + group);
     }
 
     @Override
     public long unixMillis(long micros) {
-        return micros / 1000 + unixApart;
+        return micros / 1000 + unixOffsetMillis;
     }
 
     @Override
@@ -170,7 +172,7 @@
 
     @Override
     public long slackMicros() {
-        return SLACK_MICROS;
+        return REPORTING_LAG_MICROS;
     }
 
     @Override
--- a/emulator/src/main/java/baymoor/emulator/sockets/SocketRouter.java
+++ b/emulator/src/main/java/baymoor/emulator/sockets/SocketRouter.java
@@ -13,7 +13,7 @@
 /** One router alone under load on loopback, in real time. */
 public final class SocketRouter {
 
-    private static final long MORE_SECONDS = 30;
+    private static final long GRACE_SECONDS = 30;
 
     private SocketRouter() {}
 
@@ -22,18 +22,18 @@
         String[] failure = new String[1];
         DecisionThread thread = new DecisionThread(new Counters(), line -> failure[0] = line);
         MinaNet net = new MinaNet(thread);
-        CountDownLatch over = new CountDownLatch(1);
+        CountDownLatch finished = new CountDownLatch(1);
         try {
             Streams streams = new Streams(seed);
             SocketPlatform platform = new SocketPlatform(thread, net, scenario, streams);
             RouterLoad[] run = new RouterLoad[1];
             thread.post(() -> {
-                run[0] = new RouterLoad(scenario, platform, streams, load, over::countDown);
+                run[0] = new RouterLoad(scenario, platform, streams, load, finished::countDown);
                 run[0].begin();
             });
             new Thread(thread, "router").start();
-            long seconds = scenario.durationMicros() / 1_000_000 + MORE_SECONDS;
-            if (!over.await(seconds, TimeUnit.SECONDS) || failure[0] != null) {
+            long seconds = scenario.durationMicros() / 1_000_000 + GRACE_SECONDS;
+            if (!finished.await(seconds, TimeUnit.SECONDS) || failure[0] != null) {
                 throw new IOException("the load did not end: " + failure[0]);
             }
             return run[0];
--- a/emulator/src/main/java/baymoor/emulator/sockets/SocketRun.java
+++ b/emulator/src/main/java/baymoor/emulator/sockets/SocketRun.java
@@ -28,18 +28,18 @@
 
     private static final Logger LOG = LoggerFactory.getLogger(SocketRun.class);
     private static final long START_SECONDS = 30;
-    private static final long LOOK_MICROS = 50_000;
-    private static final int MOST_KEPT = 100;
+    private static final long POLL_INTERVAL_MICROS = 50_000;
+    private static final int MAX_KEPT_VIOLATIONS = 100;
 
     /** How far it has come. {@code phase} is one word; seconds are those played so far and in all. */
     public record Progress(String phase, double seconds, double of, long asked, long inTime, int broken) {}
 
     /**
      * @param folder  for configurations and logs
-     * @param home    where the serving command is started
+     * @param workingDirectory    where the serving command is started
      * @param command that serves, for a shell
      */
-    public record Options(long seed, Path folder, Path home, String command, Consumer<Progress> progress) {}
+    public record Options(long seed, Path folder, Path workingDirectory, String command, Consumer<Progress> progress) {}
 
     /** What came of it; {@code faults} is what befell the ways between the processes. */
     public record Result(Summary summary, List<Broken> broken, Fabric.Counts faults) {}
@@ -51,12 +51,12 @@
     private final MinaNet net;
     private final Tally tally = new Tally();
     private final List<Broken> broken = new ArrayList<>();
-    private final CountDownLatch over = new CountDownLatch(1);
+    private final CountDownLatch finished = new CountDownLatch(1);
     private Judge judge;
     private World world;
     private ProcessFleet fleet;
     private String failure;
-    private long began;
+    private long startedAt;
 
     private SocketRun(Scenario scenario, Options options) {
         this.scenario = scenario;
@@ -77,7 +77,7 @@
         Streams streams = new Streams(options.seed());
         SocketPlatform platform = new SocketPlatform(thread, net, scenario, streams);
         judge = new Judge(thread::now, scenario.figures(), platform.slackMicros(), b -> {
-            if (broken.size() < MOST_KEPT) {
+            if (broken.size() < MAX_KEPT_VIOLATIONS) {
                 broken.add(b);
             }
         });
@@ -85,7 +85,7 @@
         try {
             platform.openPeers();
             thread.post(() -> prepare(platform, streams));
-            over.await();
+            finished.await();
         } finally {
             if (fleet != null) {
                 fleet.close();
@@ -97,7 +97,7 @@
         if (failure != null) {
             throw new IOException(failure);
         }
-        double seconds = (thread.read() - began) / 1e6;
+        double seconds = (thread.read() - startedAt) / 1e6;
         return new Result(
                 new Summary(scenario.name(), "sockets", options.seed(), "", seconds, seconds, 0, tally, judge.counts()),
                 List.copyOf(broken),
@@ -123,41 +123,41 @@
                 watcher,
                 streams.of("balancers"),
                 options.folder(),
-                options.home(),
+                options.workingDirectory(),
                 options.command());
         world.open(fleet);
         fleet.startAll();
-        began = thread.now();
+        startedAt = thread.now();
         awaitReady(thread.now() + TimeUnit.SECONDS.toMicros(START_SECONDS));
     }
 
-    private void report(String phase, double seconds) {
+    private void reportProgress(String phase, double seconds) {
         double of = (scenario.warmUpMicros() + scenario.durationMicros()) / 1e6;
         options.progress()
                 .accept(new Progress(phase, Math.min(of, seconds), of, tally.asked(), tally.inTime(), broken.size()));
     }
 
     private void awaitReady(long until) {
-        if (fleet.allUp()) {
-            began = thread.now();
+        if (fleet.allReady()) {
+            startedAt = thread.now();
             world.begin();
-            look();
+            poll();
         } else if (thread.now() > until) {
             failure = "a balancer did not answer within " + START_SECONDS + " s; see the logs in " + options.folder();
-            over.countDown();
+            finished.countDown();
         } else {
-            report("starting", 0);
-            thread.after(LOOK_MICROS, () -> awaitReady(until));
+            reportProgress("starting", 0);
+            thread.after(POLL_INTERVAL_MICROS, () -> awaitReady(until));
         }
     }
 
-    private void look() {
+    private void poll() {
         judge.look();
-        report(world.asking() ? "playing" : "ending", (thread.now() - began) / 1e6);
+        reportProgress(world.asking() ? "playing" : "ending", (thread.now() - startedAt) / 1e6);
         if (world.over() || failure != null || counters.get(Count.TASK_FAILURES) > 0) {
-            over.countDown();
+            finished.countDown();
         } else {
-            thread.after(LOOK_MICROS, this::look);
+            thread.after(POLL_INTERVAL_MICROS, this::poll);
         }
     }
 }
--- a/emulator/src/main/java/baymoor/emulator/sockets/StandIns.java
+++ b/emulator/src/main/java/baymoor/emulator/sockets/StandIns.java
@@ -28,7 +28,7 @@
 public final class StandIns implements Closeable {
 
     private static final Logger LOG = LoggerFactory.getLogger(StandIns.class);
-    private static final long LOOK_MICROS = 50_000;
+    private static final long POLL_INTERVAL_MICROS = 50_000;
 
     private final Scenario scenario;
     private final long seed;
@@ -36,12 +36,12 @@
     private final DecisionThread thread = new DecisionThread(counters, LOG::error);
     private final MinaNet net = new MinaNet(thread);
     private final Tally tally = new Tally();
-    private final CountDownLatch over = new CountDownLatch(1);
+    private final CountDownLatch finished = new CountDownLatch(1);
     private final List<Path> configurations = new ArrayList<>();
     private SocketPlatform platform;
     private Judge judge;
     private World world;
-    private long began;
+    private long startedAt;
 
     private StandIns(Scenario scenario, long seed) {
         this.scenario = scenario;
@@ -91,7 +91,7 @@
                 judge,
                 tally,
                 (what, whom) -> LOG.atInfo().addKeyValue("whom", whom).log(what));
-        Others fleet = new Others(scenario.balancers().count());
+        ExternalFleet fleet = new ExternalFleet(scenario.balancers().count());
         world.open(fleet);
         UniformRandomProvider seeds = streams.of("balancers");
         for (int b = 0; b < fleet.count(); b++) {
@@ -100,25 +100,26 @@
         if (load) {
             for (int b = 0; b < fleet.count(); b++) {
                 int number = b;
-                Call.until(net, thread, platform.balancer(b), () -> over.getCount() > 0, () -> {
-                    fleet.up[number] = true;
-                    world.clients().ready(number);
-                    if (fleet.all()) {
-                        began = thread.now();
-                        world.begin();
-                        look();
-                    }
-                });
+                ReadinessProbe.pingUntilAnswered(
+                        net, thread, platform.balancer(b), () -> finished.getCount() > 0, () -> {
+                            fleet.ready[number] = true;
+                            world.clients().ready(number);
+                            if (fleet.allReady()) {
+                                startedAt = thread.now();
+                                world.begin();
+                                poll();
+                            }
+                        });
             }
         }
     }
 
-    private void look() {
+    private void poll() {
         judge.look();
         if (world.over()) {
-            over.countDown();
+            finished.countDown();
         } else {
-            thread.after(LOOK_MICROS, this::look);
+            thread.after(POLL_INTERVAL_MICROS, this::poll);
         }
     }
 
@@ -129,68 +130,68 @@
 
     /** Waits until the load is over, for so long at the most. */
     public void await(long seconds) throws InterruptedException {
-        if (!over.await(seconds, TimeUnit.SECONDS)) {
+        if (!finished.await(seconds, TimeUnit.SECONDS)) {
             LOG.warn("ended before the load did");
         }
     }
 
     /** What came of the load. */
     public Summary summary() {
-        double seconds = began == 0 ? 0 : (thread.read() - began) / 1e6;
+        double seconds = startedAt == 0 ? 0 : (thread.read() - startedAt) / 1e6;
         return new Summary(scenario.name(), "sockets", seed, "", seconds, seconds, 0, tally, judge.counts());
     }
 
     @Override
     public void close() {
-        over.countDown();
+        finished.countDown();
         thread.stop();
         platform.close();
         net.close();
     }
 
     /** Balancers that are somebody else's: the script can't befall them. */
-    private static final class Others implements Fleet {
-        private final boolean[] up;
+    private static final class ExternalFleet implements Fleet {
+        private final boolean[] ready;
 
-        Others(int count) {
-            up = new boolean[count];
+        ExternalFleet(int count) {
+            ready = new boolean[count];
         }
 
-        boolean all() {
+        boolean allReady() {
             boolean all = true;
-            for (boolean b : up) {
-                all &= b;
+            for (boolean balancerReady : ready) {
+                all &= balancerReady;
             }
             return all;
         }
 
         @Override
         public int count() {
-            return up.length;
+            return ready.length;
         }
 
         @Override
         public boolean up(int balancer) {
-            return up[balancer];
+            return ready[balancer];
         }
 
-        private static void left(int balancer) {
+        private static void logIgnored(int balancer) {
             LOG.atWarn().addKeyValue("instance", "n" + balancer).log("not ours to restart, kill or stall: left alone");
         }
 
         @Override
         public void restart(int balancer, boolean planned) {
-            left(balancer);
+            logIgnored(balancer);
         }
 
         @Override
         public void kill(int balancer, long forMicros, boolean silently) {
-            left(balancer);
+            logIgnored(balancer);
         }
 
         @Override
         public void stall(int balancer, long forMicros) {
-            left(balancer);
+            logIgnored(balancer);
         }
     }
 }
--- a/emulator/src/test/java/baymoor/emulator/EmulatorLayoutTest.java
+++ b/emulator/src/test/java/baymoor/emulator/EmulatorLayoutTest.java
@@ -13,10 +13,10 @@
 
     @Test
     public void packagesImportInOneDirection() {
-        JavaClasses program = new ClassFileImporter()
+        JavaClasses classes = new ClassFileImporter()
                 .withImportOption(new ImportOption.DoNotIncludeTests())
                 .importPackages("baymoor", "merlinstep");
-        slices().matching("baymoor.emulator.(*)..").should().beFreeOfCycles().check(program);
+        slices().matching("baymoor.emulator.(*)..").should().beFreeOfCycles().check(classes);
         ArchRuleDefinition.noClasses()
                 .that()
                 .resideOutsideOfPackages("baymoor.emulator..", "baymoor.cli..")
@@ -24,14 +24,14 @@
                 .dependOnClassesThat()
                 .resideInAnyPackage("baymoor.emulator..", "baymoor.cli..")
                 .because("what serves knows no tool")
-                .check(program);
+                .check(classes);
         ArchRuleDefinition.noClasses()
                 .that()
                 .resideInAPackage("baymoor.emulator..")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage("baymoor.cli..")
-                .check(program);
+                .check(classes);
         ArchRuleDefinition.noClasses()
                 .that()
                 .resideInAnyPackage(
@@ -45,7 +45,7 @@
                 .dependOnClassesThat()
                 .resideInAnyPackage("baymoor.net..", "org.apache.mina..", "java.nio.channels..")
                 .because("a state machine knows no socket")
-                .check(program);
+                .check(classes);
         ArchRuleDefinition.noClasses()
                 .that()
                 .resideInAnyPackage("baymoor.emulator.judge..")
@@ -58,6 +58,6 @@
                         "java.io..",
                         "java.nio.file..")
                 .because("the judge hears what happened and does nothing else")
-                .check(program);
+                .check(classes);
     }
 }
