--- a/emulator/src/main/java/baymoor/emulator/judge/AnswerKind.java
+++ b/emulator/src/main/java/baymoor/emulator/judge/AnswerKind.java
@@ -1,6 +1,6 @@
 package baymoor.emulator.judge;
 
-/** What came back to a client. */
+/** The kind of final answer that a client received. */
 public enum AnswerKind {
     SERVED,
     REFUSED,
--- a/emulator/src/main/java/baymoor/emulator/judge/Judge.java
+++ b/emulator/src/main/java/baymoor/emulator/judge/Judge.java
@@ -18,17 +18,21 @@
 import java.util.zip.CRC32C;
 
 /**
- * Hears the truth of a world, from clients, hosts and discovery and, where the driver sees them, from the balancers'
- * own connections, and says which rule broke. It is a state machine without I/O: the driver tells it what happened in
- * the order in which it happened, and calls {@link #look} now and then. It keeps each request for as long as something
- * may still come of it, so its memory goes with the traffic of half a minute and not with the length of a run.
+ * Checks a run against the {@link Rule rules}. The driver reports what clients, hosts and discovery observe and, where
+ * it can see them, the balancers' own connections. The judge is a state machine without I/O: events are reported in the
+ * order in which they happen, and {@link #look} is called periodically. A request is kept for
+ * 30 s after it ends, so memory is bounded by recent traffic. Not thread-safe: all calls come from one thread.
  */
 public final class Judge {
 
+    /** How long an ended request is kept, so that late events are still attributed to it. */
     private static final long RETENTION_MICROS = 30_000_000;
+
     private static final double MAX_COLD_SHARE = 0.3;
     private static final double MAX_COLD_EXCESS = 1.25;
+    /** Share of a fallen router's work above which the balancers that knew of its start are held responsible. */
     private static final double MIN_INFORMED_SHARE = 2.0 / 3;
+
     private static final long CLIENT_LEFT_GRACE_MICROS = 100_000;
     private static final int TOLERATED_LATE_ATTEMPTS = 2;
 
@@ -45,7 +49,7 @@
     private final ArrayDeque<RequestRecord> possibleOverlaps = new ArrayDeque<>();
     private final ListedStates listedStates = new ListedStates();
     private final Map<Integer, Long> stalledUntil = new HashMap<>();
-    /** Balancers that have died and not started again. */
+    /** Balancers that have died and have not been restarted. */
     private final Set<Integer> deadBalancers = new HashSet<>();
 
     private int lateAttempts;
@@ -53,9 +57,9 @@
     private final Map<Rule, Integer> counts = new EnumMap<>(Rule.class);
 
     /**
-     * @param clock  microseconds of the world's clock; what is reported counts from now on
-     * @param slackMicros  how far the driver's word may lag behind what happened; 0 where it sees all at once
-     * @param violationListener hears each break
+     * @param clock             microseconds of the run's clock; reported times are relative to its value now
+     * @param slackMicros       how far reports may lag behind the events; 0 if the driver observes them immediately
+     * @param violationListener receives each violation
      */
     public Judge(LongSupplier clock, Figures figures, long slackMicros, Consumer<Broken> violationListener) {
         this.clock = clock;
@@ -65,12 +69,12 @@
         this.violationListener = violationListener;
     }
 
-    /** How often each rule broke. */
+    /** Returns the number of violations by rule; rules without a violation are absent. */
     public Map<Rule, Integer> counts() {
         return new EnumMap<>(counts);
     }
 
-    /** Requests that it still keeps in mind. */
+    /** Returns the number of requests that are still tracked. */
     public int kept() {
         return requests.size();
     }
@@ -93,7 +97,7 @@
         }
     }
 
-    /** Forgets what is long over, and looks again at what only time can tell. */
+    /** Drops requests past their retention and decides the suspected overlaps whose slack has elapsed. */
     public void look() {
         long now = clock.getAsLong();
         while (!endedRequests.isEmpty() && now - endedRequests.peek().endedAt > RETENTION_MICROS) {
@@ -114,7 +118,8 @@
                     reportViolation(
                             Rule.ONE_RELAY_AT_A_TIME,
                             request,
-                            "still out at " + overlap.host + " " + slackMicros + " us after the next attempt had come");
+                            "attempt at " + overlap.host + " still outstanding " + slackMicros
+                                    + " us after the next attempt began");
                 }
             }
         }
@@ -122,26 +127,30 @@
 
     // ---- clients
 
-    /** A client has written a request and gives it up at a time. */
+    /** Records that a client has sent a request, which it abandons at {@code deadlineMicros}. */
     public void asked(String id, RequestClass requestClass, long deadlineMicros) {
         RequestRecord request = new RequestRecord(id, requestClass, deadlineMicros);
         recordStep(request, "asked", requestClass.name());
         requests.put(id, request);
     }
 
-    /** A balancer's process has the request. */
+    /** Records that a balancer's process has received the request. */
     public void taken(String id, int balancer) {
         RequestRecord request = requests.get(id);
         if (request != null && !request.ended) {
             request.accepted = true;
             request.balancer = balancer;
-            // Seen: on sockets the kernel takes a request in for a process that was killed 5 ms before.
+            // The kernel may still accept bytes on behalf of a process that has just been killed.
             request.exempt |= deadBalancers.contains(balancer);
             recordStep(request, "taken", "by balancer " + balancer);
         }
     }
 
-    /** A whole answer came to the client; {@code value} is what was served. */
+    /**
+     * Records that the client has received a complete answer.
+     *
+     * @param value the served value; only read if {@code kind} is {@code SERVED}
+     */
     public void answered(String id, AnswerKind kind, byte[] value) {
         RequestRecord request = requests.get(id);
         if (request == null) {
@@ -149,35 +158,39 @@
         }
         recordStep(request, "answered", kind.name());
         if (request.ended) {
-            reportViolation(Rule.ONE_ANSWER, request, "a second answer");
+            reportViolation(Rule.ONE_ANSWER, request, "received a second answer");
             return;
         }
         markEnded(request);
         if (kind == AnswerKind.SERVED) {
             if (!request.validChecksums.contains(checksumOf(value))) {
-                reportViolation(Rule.TRUE_VALUE, request, "served what no host made for it");
+                reportViolation(Rule.TRUE_VALUE, request, "served a value that no host produced for this request");
             }
         } else if (kind == AnswerKind.REFUSED
                 && request.requestClass.effect() == Effect.UNSAFE
                 && request.mayHaveExecuted()) {
             reportViolation(
-                    Rule.HARMLESS_REFUSAL, request, "an unsafe request that may have run was answered with a back-off");
+                    Rule.HARMLESS_REFUSAL, request, "back-off answer to an unsafe request that may have been executed");
         }
     }
 
-    /** The connection ended with the request open: {@code byBalancer}, a process that lives, or by what else befell. */
+    /**
+     * Records that the client's connection ended before an answer.
+     *
+     * @param byBalancer whether a running balancer closed it
+     */
     public void lost(String id, boolean byBalancer) {
         RequestRecord request = requests.get(id);
         if (request != null && !request.ended) {
-            recordStep(request, "connection ended", byBalancer ? "by the balancer" : "by something else");
+            recordStep(request, "connection ended", byBalancer ? "by the balancer" : "by another cause");
             markEnded(request);
             if (byBalancer && request.accepted && !request.exempt) {
-                reportViolation(Rule.ONE_ANSWER, request, "its connection was closed without an answer");
+                reportViolation(Rule.ONE_ANSWER, request, "connection closed without an answer");
             }
         }
     }
 
-    /** The client left before its time was up. */
+    /** Records that the client left before its deadline. */
     public void left(String id) {
         RequestRecord request = requests.get(id);
         if (request != null && !request.ended) {
@@ -187,13 +200,13 @@
         }
     }
 
-    /** The client's time is up, and the slack that an answer is allowed beyond it, and there is none. */
+    /** Records that no answer came by the client's deadline plus the allowed slack. */
     public void unanswered(String id) {
         RequestRecord request = requests.get(id);
         if (request == null || request.ended) {
             return;
         }
-        recordStep(request, "given up", "");
+        recordStep(request, "abandoned by the client", "");
         request.clientLeftAt = clock.getAsLong();
         markEnded(request);
         boolean stalled = stalledUntil.getOrDefault(request.balancer, Long.MIN_VALUE) >= request.deadlineMicros;
@@ -201,13 +214,13 @@
             reportViolation(
                     Rule.IN_TIME,
                     request,
-                    "no answer " + (clock.getAsLong() - request.deadlineMicros) + " us after its time was up");
+                    "no answer " + (clock.getAsLong() - request.deadlineMicros) + " us after the deadline");
         }
     }
 
     // ---- balancers
 
-    /** A balancer's process has died, or begins to end: it owes nothing for what it had taken. */
+    /** Records that a balancer's process has died or begins to stop: it owes no answer to the requests it holds. */
     public void died(int balancer) {
         listedStates.forget(balancer);
         deadBalancers.add(balancer);
@@ -218,21 +231,18 @@
         }
     }
 
-    /**
-     * A balancer's process starts: what its forerunner was told is nothing that it can know. Seen: a router drained and
-     * came back before a planned restart, the new process took it from its list as in service, and the old word stood.
-     */
+    /** Records that a balancer's process starts. It knows none of the host states reported to the previous process. */
     public void started(int balancer) {
         listedStates.forget(balancer);
         deadBalancers.remove(balancer);
     }
 
-    /** A balancer's process is held up from outside until a time. */
+    /** Records that a balancer's process is suspended until {@code untilMicros}. */
     public void stalled(int balancer, long untilMicros) {
         stalledUntil.merge(balancer, untilMicros + figures.answerSlackMicros(), Math::max);
     }
 
-    /** An attempt has left on a connection. */
+    /** Records that a balancer has sent an attempt on a connection. */
     public void attemptSent(String id, int balancer, String host, long connection) {
         RequestRecord request = requests.get(id);
         if (request == null) {
@@ -246,22 +256,26 @@
             reportViolation(
                     Rule.LEFT_ALONE,
                     request,
-                    "sent to " + host + " " + (now - request.clientLeftAt) + " us after its client had left, case "
-                            + lateAttempts);
+                    "sent to " + host + " " + (now - request.clientLeftAt)
+                            + " us after its client had left, occurrence " + lateAttempts);
         }
         for (Attempt attempt : request.attempts) {
             if (attempt.outstanding && slackMicros == 0) {
                 reportViolation(
-                        Rule.ONE_RELAY_AT_A_TIME, request, "sent to " + host + " while it is out at " + attempt.host);
+                        Rule.ONE_RELAY_AT_A_TIME,
+                        request,
+                        "sent to " + host + " while an attempt is outstanding at " + attempt.host);
             } else if (attempt.outstanding) {
                 attempt.overlapSuspected = true;
                 attempt.overlapSuspectedAt = now;
                 possibleOverlaps.add(request);
             }
-            // Where the word of a refusal may come late, the truth of what ran has to do.
+            // With delayed reports a refusal may arrive late; ran() then checks the actual executions.
             if (!attempt.notExecuted && request.requestClass.effect() == Effect.UNSAFE && slackMicros == 0) {
                 reportViolation(
-                        Rule.UNSAFE_ONCE, request, "sent to " + host + " though it may have run at " + attempt.host);
+                        Rule.UNSAFE_ONCE,
+                        request,
+                        "sent to " + host + " after it may have been executed at " + attempt.host);
             }
         }
         if (request.requestClass.effect() == Effect.KEYED
@@ -271,14 +285,15 @@
                     Rule.KEYED_ONCE,
                     request,
                     "sent again " + (now - request.firstPossibleExecutionAt)
-                            + " us after an attempt that may have run");
+                            + " us after an attempt that may have been executed");
         }
         OptionalLong stoppedAt = listedStates.stoppedAt(balancer, host);
         if (stoppedAt.isPresent() && now - stoppedAt.getAsLong() > figures.drainGraceMicros() + slackMicros) {
             reportViolation(
                     Rule.DRAINED,
                     request,
-                    "sent to " + host + " " + (now - stoppedAt.getAsLong()) + " us after it was told to stop");
+                    "sent to " + host + " " + (now - stoppedAt.getAsLong())
+                            + " us after the host was reported as stopped");
         }
         request.attempts.add(new Attempt(host, connection));
         request.firstPossibleExecutionAt =
@@ -298,7 +313,7 @@
                 : null;
     }
 
-    /** Bytes of a host's answer have come to the balancer. */
+    /** Records that bytes of a host's answer have arrived at the balancer. */
     public void answerIn(long connection) {
         Attempt attempt = attemptOnConnection(connection);
         if (attempt != null && attempt.answered) {
@@ -306,7 +321,7 @@
         }
     }
 
-    /** The connection of an attempt is over at the balancer's side. */
+    /** Records that an attempt's connection has closed on the balancer's side. */
     public void attemptClosed(long connection) {
         Attempt attempt = attemptOnConnection(connection);
         if (attempt != null) {
@@ -317,17 +332,21 @@
 
     // ---- hosts
 
-    /** A host has answered an attempt in whole. {@code notExecuted}: with a miss, or turned away, so that nothing ran. */
+    /**
+     * Records that a host has answered an attempt completely.
+     *
+     * @param notExecuted whether the answer was a miss or a refusal, so that nothing was executed
+     */
     public void hostAnswered(String id, String host, boolean notExecuted) {
         RequestRecord request = requests.get(id);
         if (request == null) {
             return;
         }
-        recordStep(request, notExecuted ? "turned away or missed" : "host answered", "at " + host);
+        recordStep(request, notExecuted ? "host refused or missed" : "host answered", "at " + host);
         request.hostAnswered(host, notExecuted, slackMicros == 0);
     }
 
-    /** The request has had its effect at a host. */
+    /** Records that a host has executed the request. */
     public void ran(String id, String host) {
         RequestRecord request = requests.get(id);
         if (request == null) {
@@ -337,17 +356,17 @@
         request.firstExecutedAt = request.executions == 1 ? clock.getAsLong() : request.firstExecutedAt;
         recordStep(request, "ran", "at " + host);
         if (request.executions > 1 && request.requestClass.effect() == Effect.UNSAFE) {
-            reportViolation(Rule.UNSAFE_ONCE, request, "ran " + request.executions + " times");
+            reportViolation(Rule.UNSAFE_ONCE, request, "executed " + request.executions + " times");
         } else if (request.executions > 1
                 && request.requestClass.effect() == Effect.KEYED
                 && clock.getAsLong() - request.firstExecutedAt <= request.requestClass.windowMicros()) {
-            // Later the hosts drop no repeat any more: one that was sent in time, and waited there, is not the
-            // balancer's doing.
-            reportViolation(Rule.KEYED_ONCE, request, "had its effect " + request.executions + " times");
+            // Beyond the window hosts no longer drop repeats; one sent in time but queued there is not the balancer's
+            // fault.
+            reportViolation(Rule.KEYED_ONCE, request, "took effect " + request.executions + " times");
         }
     }
 
-    /** A host has made a value or receipt for a request. */
+    /** Records that a host has produced a value or receipt for a request. */
     public void made(String id, byte[] value) {
         RequestRecord request = requests.get(id);
         if (request != null) {
@@ -358,21 +377,25 @@
     // ---- discovery
 
     /**
-     * Discovery has written to a balancer how a host is.
+     * Records that discovery has reported a host's state to a balancer.
      *
-     * @param stopped     it drains or is gone
-     * @param sinceMicros when it last started, 0 for long ago
+     * @param stopped     whether the host drains or is gone
+     * @param sinceMicros when the host last started, in microseconds; 0 if long ago
      */
     public void told(int balancer, String host, boolean stopped, long sinceMicros) {
         listedStates.update(balancer, host, stopped, sinceMicros, clock.getAsLong());
     }
 
-    /** Whether a balancer was told of a host's last start. */
+    /** Returns whether discovery has reported a host's last start to a balancer. */
     public boolean knowsStart(int balancer, String host, long sinceMicros) {
         return listedStates.knowsStart(balancer, host, sinceMicros);
     }
 
-    /** A cold router fell over; {@code informedShare}: share of the work of those who knew of its start. */
+    /**
+     * Records that a cold router was overloaded.
+     *
+     * @param informedShare share of its work that came from balancers that knew of its start, 0 to 1
+     */
     public void tipped(String host, double informedShare) {
         if (informedShare >= MIN_INFORMED_SHARE) {
             reportViolation(
@@ -380,15 +403,17 @@
                     null,
                     String.format(
                             Locale.ROOT,
-                            "%s fell over, %.0f%% of its work from balancers that knew of its start",
+                            "%s was overloaded, %.0f%% of its work from balancers that knew of its start",
                             host,
                             informedShare * 100));
         }
     }
 
     /**
-     * The origin stopped under its load. {@code coldShare}: of it that missed at cold routers; {@code excess}: that
-     * over what is due to them when their weights are cut by the stated warm-up.
+     * Records that the origin was overloaded.
+     *
+     * @param coldShare share of its load that came from misses at cold routers, 0 to 1
+     * @param excess    ratio of that load to what the routers' warm-up weights allow
      */
     public void originFell(double coldShare, double excess) {
         if (coldShare > MAX_COLD_SHARE && excess > MAX_COLD_EXCESS) {
@@ -397,13 +422,13 @@
                     null,
                     String.format(
                             Locale.ROOT,
-                            "the origin stopped, %.0f%% of its load misses at cold routers, %.1f times what was due to them",
+                            "the origin was overloaded, %.0f%% of its load from misses at cold routers, %.1f times their expected load",
                             coldShare * 100,
                             excess));
         }
     }
 
-    /** The balancer's own code found something wrong. */
+    /** Records a failed internal check of a balancer, or a failure of its process. */
     public void invariant(String component, String what) {
         reportViolation(Rule.INVARIANT, null, component + ": " + what);
     }
--- a/emulator/src/main/java/baymoor/emulator/judge/ListedStates.java
+++ b/emulator/src/main/java/baymoor/emulator/judge/ListedStates.java
@@ -4,20 +4,27 @@
 import java.util.Map;
 import java.util.OptionalLong;
 
-/** What discovery has written to each balancer of hosts that drain, are gone or have started lately. */
+/**
+ * Holds the host states that discovery has reported to each balancer: hosts that drain, are gone or have started
+ * recently. Not thread-safe; used by {@link Judge} only.
+ */
 final class ListedStates {
 
-    /** @param reportedAt when the balancer was told first */
+    /**
+     * A host's state as one balancer knows it.
+     *
+     * @param reportedAt when the state was first reported to the balancer
+     */
     private record State(boolean stopped, long reportedAt, long startedAt) {}
 
     private final Map<Integer, Map<String, State>> byBalancer = new HashMap<>();
 
-    /** A balancer's process has ended, and with it what it knew. */
+    /** Drops all states of a balancer whose process has ended or restarted. */
     void forget(int balancer) {
         byBalancer.remove(balancer);
     }
 
-    /** Notes what a balancer was told at a time; a host in service for long is not kept, as no rule turns on it. */
+    /** Records a reported state; long-running hosts in service are dropped, since no rule depends on them. */
     void update(int balancer, String host, boolean stopped, long sinceMicros, long now) {
         Map<String, State> known = byBalancer.computeIfAbsent(balancer, key -> new HashMap<>());
         if (!stopped && sinceMicros == 0) {
@@ -29,13 +36,13 @@
         known.put(host, new State(stopped, unchanged ? previous.reportedAt : now, sinceMicros));
     }
 
-    /** When a balancer was told that a host drains or is gone; empty where it is in service as far as it knows. */
+    /** Returns when a balancer learned that a host drains or is gone; empty if it knows of neither. */
     OptionalLong stoppedAt(int balancer, String host) {
         State state = state(balancer, host);
         return state != null && state.stopped ? OptionalLong.of(state.reportedAt) : OptionalLong.empty();
     }
 
-    /** Whether a balancer was told of a host's last start. */
+    /** Returns whether discovery has reported a host's last start to a balancer. */
     boolean knowsStart(int balancer, String host, long sinceMicros) {
         State state = state(balancer, host);
         return state != null && state.startedAt == sinceMicros;
--- a/emulator/src/main/java/baymoor/emulator/judge/RequestRecord.java
+++ b/emulator/src/main/java/baymoor/emulator/judge/RequestRecord.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What the judge knows of one request: its attempts, what came of it, and its last steps for a report. */
+/** Tracks one request for the judge: its attempts, its outcome and its most recent steps. Not thread-safe. */
 final class RequestRecord {
 
     private static final int MAX_STEPS = 40;
@@ -20,13 +20,13 @@
     long firstExecutedAt;
     long firstPossibleExecutionAt = -1;
     long clientLeftAt = Long.MAX_VALUE;
-    /** Checksums of the values and receipts that hosts made for it. */
+    /** Checksums of the values and receipts that hosts produced for this request. */
     final List<Integer> validChecksums = new ArrayList<>(1);
 
     final List<Attempt> attempts = new ArrayList<>(2);
     private final List<Step> steps = new ArrayList<>(8);
 
-    /** One attempt at a host, as the judge sees it. */
+    /** State of one attempt at a host. */
     static final class Attempt {
         final String host;
         final long connection;
@@ -50,7 +50,7 @@
         this.deadlineMicros = deadlineMicros;
     }
 
-    /** Notes a step; past a bound the oldest but the first is dropped. */
+    /** Records a step; when the record is full, the oldest step after the first is dropped. */
     void step(long at, String what, String where) {
         if (steps.size() == MAX_STEPS) {
             steps.remove(1);
@@ -58,14 +58,14 @@
         steps.add(new Step(at, what, where));
     }
 
-    /** The steps noted, a line each, with times since {@code epoch}. */
+    /** Returns the recorded steps, one line each, with times relative to {@code epoch}. */
     List<String> formatSteps(long epoch) {
         return steps.stream()
                 .map(step -> step.at - epoch + " us  " + step.what + (step.where.isEmpty() ? "" : "  " + step.where))
                 .toList();
     }
 
-    /** The last attempt on a connection, or null. */
+    /** Returns the last attempt on a connection, or null if there is none. */
     Attempt lastAttemptOnConnection(long connection) {
         for (int i = attempts.size() - 1; i >= 0; i--) {
             if (attempts.get(i).connection == connection) {
@@ -75,7 +75,7 @@
         return null;
     }
 
-    /** The first attempt that seems to have been out together with another one, or null. */
+    /** Returns the first attempt suspected of overlapping a later one, or null if there is none. */
     Attempt firstSuspectedOverlap() {
         return attempts.stream()
                 .filter(attempt -> attempt.overlapSuspected)
@@ -83,16 +83,17 @@
                 .orElse(null);
     }
 
-    /** Whether it has run, or may have. */
+    /** Returns whether the request has executed or may have. */
     boolean mayHaveExecuted() {
         return executions > 0 || attempts.stream().anyMatch(attempt -> !attempt.notExecuted);
     }
 
     /**
-     * A host has answered its last open attempt there.
+     * Records a host's answer to the last unanswered attempt there.
      *
-     * @param notExecuted     with a miss or a refusal, so that nothing ran
-     * @param balancerObserved whether the balancer's side is seen too; without that, an answer that left counts as one that came
+     * @param notExecuted      whether the answer was a miss or a refusal, so that nothing was executed
+     * @param balancerObserved whether the balancer's side is observed as well; if not, an answer counts as received once
+     *                         the host has sent it
      */
     void hostAnswered(String host, boolean notExecuted, boolean balancerObserved) {
         for (int i = attempts.size() - 1; i >= 0; i--) {
--- a/emulator/src/main/java/baymoor/emulator/judge/Rule.java
+++ b/emulator/src/main/java/baymoor/emulator/judge/Rule.java
@@ -1,29 +1,29 @@
 package baymoor.emulator.judge;
 
-/** What must hold whatever happens. */
+/** Invariants that a run must not violate under any fault. */
 public enum Rule {
-    /** A running balancer gives exactly one final answer to what it has taken. */
+    /** A running balancer gives exactly one final answer to each request that it has accepted. */
     ONE_ANSWER,
-    /** It does so before the client gives up. */
+    /** The final answer arrives before the client's deadline. */
     IN_TIME,
-    /** No two attempts of a request are out at once. */
+    /** No two attempts of a request are outstanding at the same time. */
     ONE_RELAY_AT_A_TIME,
-    /** A request of an unsafe class has its effect once at most, and is not sent where it might have a second one. */
+    /** A request of an unsafe class takes effect at most once and is never retried after it may have executed. */
     UNSAFE_ONCE,
-    /** A keyed request has its effect once within its window, and is sent again only within it. */
+    /** A keyed request takes effect once within its deduplication window and is retried only within it. */
     KEYED_ONCE,
-    /** A back-off answer is given only where trying again does no harm. */
+    /** A back-off answer is given only where a retry is harmless. */
     HARMLESS_REFUSAL,
-    /** Nothing new goes to a host that drains or is gone, once the grace is over. */
+    /** No attempt goes to a host that drains or is gone once the grace period is over. */
     DRAINED,
-    /** No router that has just started is pushed over by what balancers that knew of its start sent it. */
+    /** No recently started router is overloaded by balancers that knew of its start. */
     COLD_ROUTER,
-    /** The origin does not stop under a load that came largely from misses at cold routers. */
+    /** The origin is not overloaded mainly by misses at cold routers. */
     ORIGIN_SPARED,
-    /** Nothing is served that no host made for that very request. */
+    /** Every served value was produced by a host for that request. */
     TRUE_VALUE,
-    /** No attempt begins over 0.1 s after its client has left; two such cases in a run are put down to chance. */
+    /** No attempt starts more than 0.1 s after its client has left; two such cases in a run are tolerated. */
     LEFT_ALONE,
-    /** What the balancer's own code says must hold. */
+    /** Internal checks of the balancer's own code. */
     INVARIANT
 }
--- a/emulator/src/test/java/baymoor/emulator/EmulatorLayoutTest.java
+++ b/emulator/src/test/java/baymoor/emulator/EmulatorLayoutTest.java
@@ -8,7 +8,7 @@
 import com.tngtech.archunit.lang.syntax.ArchRuleDefinition;
 import org.junit.Test;
 
-/** Packages and modules import in one direction, and the world knows no socket. */
+/** Tests that dependencies between packages and modules have one direction and that state machines use no sockets. */
 public class EmulatorLayoutTest {
 
     @Test
@@ -23,7 +23,7 @@
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage("baymoor.emulator..", "baymoor.cli..")
-                .because("what serves knows no tool")
+                .because("production code must not depend on tools")
                 .check(classes);
         ArchRuleDefinition.noClasses()
                 .that()
@@ -44,7 +44,7 @@
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage("baymoor.net..", "org.apache.mina..", "java.nio.channels..")
-                .because("a state machine knows no socket")
+                .because("state machines must not use sockets")
                 .check(classes);
         ArchRuleDefinition.noClasses()
                 .that()
@@ -57,7 +57,7 @@
                         "baymoor.emulator.sockets..",
                         "java.io..",
                         "java.nio.file..")
-                .because("the judge hears what happened and does nothing else")
+                .because("the judge only evaluates reported events")
                 .check(classes);
     }
 }
--- a/emulator/src/test/java/baymoor/emulator/ManualTime.java
+++ b/emulator/src/test/java/baymoor/emulator/ManualTime.java
@@ -3,7 +3,7 @@
 import baymoor.emulator.engine.Engine;
 import baymoor.link.Time;
 
-/** A clock that a test moves, on the emulator's own engine. */
+/** A clock that a test advances, based on the emulator's event engine. */
 public final class ManualTime implements Time {
 
     private final Engine engine = new Engine();
--- a/emulator/src/test/java/baymoor/emulator/RecordingLink.java
+++ b/emulator/src/test/java/baymoor/emulator/RecordingLink.java
@@ -3,7 +3,7 @@
 import baymoor.link.Link;
 import java.nio.charset.StandardCharsets;
 
-/** A connection without a network: keeps what was written. */
+/** A link without a network that records the bytes written to it. */
 public class RecordingLink implements Link {
     public final StringBuilder out = new StringBuilder();
     public boolean closed;
--- a/emulator/src/test/java/baymoor/emulator/judge/JudgeTest.java
+++ b/emulator/src/test/java/baymoor/emulator/judge/JudgeTest.java
@@ -12,7 +12,7 @@
 import org.junit.Before;
 import org.junit.Test;
 
-/** For each rule a story that breaks it, beside the nearest one that does not. */
+/** Tests each rule with a sequence of events that violates it and a similar one that does not. */
 public class JudgeTest {
 
     private static final byte[] VALUE = "value".getBytes(StandardCharsets.US_ASCII);
@@ -84,7 +84,7 @@
         judge.died(0);
         judge.lost("s", true);
         judge.asked("t", requestClass("map-read"), now + 1);
-        judge.taken("t", 0); // the kernel's word, on sockets, for a process that is gone
+        judge.taken("t", 0); // the kernel may accept bytes for a process that has just been killed
         judge.lost("t", true);
         expectViolations();
         judge.started(0);
@@ -241,7 +241,7 @@
         judge.attemptSent("r", 0, "a", 1);
         judge.attemptClosed(1);
         expectViolations();
-        judge.told(0, "a", true, 0); // told again is not told anew
+        judge.told(0, "a", true, 0); // a repeated report does not restart the grace period
         now += 1;
         judge.attemptSent("r", 0, "a", 2);
         expectViolations(Rule.DRAINED);
@@ -257,12 +257,12 @@
         judge.attemptSent("r", 0, "a", 1);
         judge.attemptClosed(1);
         expectViolations();
-        judge.told(0, "a", true, 0); // by its own first list: from now on the rule holds
+        judge.told(0, "a", true, 0); // the new process learns of it here, and its grace period starts
         now += 500_001;
         judge.attemptSent("r", 0, "a", 2);
         expectViolations(Rule.DRAINED);
         judge.attemptClosed(2);
-        judge.attemptSent("r", 1, "a", 3); // and it held all the time for the other one
+        judge.attemptSent("r", 1, "a", 3); // the other balancer has known of it all along
         expectViolations(Rule.DRAINED, Rule.DRAINED);
     }
 
