--- a/emulator/src/main/java/baymoor/emulator/calibrate/Calibration.java
+++ b/emulator/src/main/java/baymoor/emulator/calibrate/Calibration.java
@@ -21,14 +21,15 @@
 import java.util.function.IntConsumer;
 
 /**
- * Holds the virtual router against the one on loopback: latencies at shares of its capacity, medians over repeats with
- * a seed each. Both arms of a repeat get the same arrivals and the same work, so that what differs is the platform.
+ * Compares the latencies of the router in virtual time with those of the router on loopback, at several utilizations.
+ * Results are medians over repeats with different seeds. Both runs of a repeat have the same arrivals and service
+ * times, so differences come from the platform.
  */
 public final class Calibration {
 
     public static final double[] LOADS = {0.2, 0.5, 0.8, 0.95};
     public static final double[] PERCENTILES = {50, 90, 99};
-    /** How far the two may lie apart. */
+    /** Largest accepted relative difference. */
     public static final double BOUND = 0.10;
 
     private static final String ROUTER = """
@@ -57,14 +58,14 @@
             size = "1KiB"
             """;
 
-    /** One percentile at one load: medians over the repeats, microseconds. */
+    /** One latency percentile at one load: medians over the repeats, in microseconds. */
     public record Row(double load, double percentile, double virtual, double sockets) {
-        /** How far virtual time is from loopback, as a share of the latter. */
+        /** Returns the relative difference of virtual time from loopback. */
         public double apart() {
             return virtual / sockets - 1;
         }
 
-        /** Whether the two agree within the bound. */
+        /** Returns whether the absolute relative difference is within {@link #BOUND}. */
         public boolean within() {
             return Math.abs(apart()) <= BOUND;
         }
@@ -75,8 +76,13 @@
     private record Pair(double load, RouterLoad virtual, RouterLoad sockets) {}
 
     /**
-     * @param parallelism   how many repeats run side by side on loopback; each takes a few hundredths of a core
-     * @param progress hears how many of all the runs on loopback are over
+     * Runs the comparison.
+     *
+     * @param seconds     length of each run
+     * @param seed        seed of the first repeat; each further one adds 1
+     * @param parallelism number of runs at the same time
+     * @param progress    receives the number of completed repeats
+     * @throws IOException if a run fails
      */
     public static List<Row> run(int seconds, int repeats, long seed, int parallelism, IntConsumer progress)
             throws IOException, InterruptedException {
@@ -104,7 +110,7 @@
             }
             return rows(pairs);
         } catch (ExecutionException e) {
-            throw new IOException("a run failed: " + e.getCause(), e.getCause());
+            throw new IOException("calibration run failed: " + e.getCause(), e.getCause());
         } finally {
             pool.shutdown();
         }
@@ -135,7 +141,7 @@
         return values.length % 2 == 1 ? values[middle] : (values[middle - 1] + values[middle]) / 2;
     }
 
-    /** The rows as a table for people. */
+    /** Returns the rows as a readable table. */
     public static String table(List<Row> rows) {
         StringBuilder table = new StringBuilder(
                 String.format(Locale.ROOT, "%-6s %-5s %12s %12s %8s%n", "load", "p", "virtual", "loopback", "apart"));
@@ -153,7 +159,7 @@
         return table.toString().stripTrailing();
     }
 
-    /** The rows as a JSON array. */
+    /** Returns the rows as a JSON array. */
     public static ArrayNode json(List<Row> rows) {
         ArrayNode array = new ObjectMapper().createArrayNode();
         for (Row r : rows) {
--- a/emulator/src/main/java/baymoor/emulator/judge/Judge.java
+++ b/emulator/src/main/java/baymoor/emulator/judge/Judge.java
@@ -20,8 +20,8 @@
 /**
  * Checks a run against the {@link Rule rules}. The driver reports what clients, hosts and discovery observe and, where
  * it can see them, the balancers' own connections. The judge is a state machine without I/O: events are reported in the
- * order in which they happen, and {@link #look} is called periodically. A request is kept for
- * 30 s after it ends, so memory is bounded by recent traffic. Not thread-safe: all calls come from one thread.
+ * order in which they happen, and {@link #look} is called periodically. A request is kept for 30 s
+ * after it ends, so memory is bounded by recent traffic. Not thread-safe: all calls come from one thread.
  */
 public final class Judge {
 
@@ -30,7 +30,7 @@
 
     private static final double MAX_COLD_SHARE = 0.3;
     private static final double MAX_COLD_EXCESS = 1.25;
-    /** Share of a fallen router's work above which the balancers that knew of its start are held responsible. */
+    /** Share of a fallen router's work from which on the balancers that knew of its start are held responsible. */
     private static final double MIN_INFORMED_SHARE = 2.0 / 3;
 
     private static final long CLIENT_LEFT_GRACE_MICROS = 100_000;
--- a/emulator/src/main/java/baymoor/emulator/report/Summary.java
+++ b/emulator/src/main/java/baymoor/emulator/report/Summary.java
@@ -11,12 +11,12 @@
 import java.util.TreeMap;
 
 /**
- * What a run came to, as a table for people and as JSON for programs.
+ * The results of a run, formatted as a readable table or as JSON.
  *
  * @param kind        {@code virtual} or {@code sockets}
- * @param fingerprint of the event log; empty where there is none
- * @param seconds     that were played, the time before counting included
- * @param broken      how often each rule broke
+ * @param fingerprint SHA-256 of the event log; empty if there is no log
+ * @param seconds     length of the run in its own time, including the warm-up
+ * @param broken      number of violations by rule
  */
 public record Summary(
         String scenario,
@@ -35,7 +35,7 @@
         broken = Map.copyOf(broken);
     }
 
-    /** How often rules broke, all rules together. */
+    /** Returns the total number of rule violations. */
     public int brokenCount() {
         return broken.values().stream().mapToInt(Integer::intValue).sum();
     }
@@ -54,7 +54,7 @@
         rows.add(String.format(Locale.ROOT, "  %-24s %s", name, String.format(Locale.ROOT, format, values)));
     }
 
-    /** Name and value a line. */
+    /** Returns a table with one name and value per line. */
     public String table() {
         Tally t = tally;
         long asked = t.asked();
@@ -86,7 +86,7 @@
         return String.join(System.lineSeparator(), rows);
     }
 
-    /** All figures, times in microseconds, and a row for each second. */
+    /** Returns all results as JSON, latencies in microseconds, with one entry per second. */
     public ObjectNode json() {
         Tally t = tally;
         ObjectNode root = JSON.createObjectNode();
--- a/emulator/src/main/java/baymoor/emulator/report/Tally.java
+++ b/emulator/src/main/java/baymoor/emulator/report/Tally.java
@@ -4,14 +4,16 @@
 import java.util.List;
 import org.HdrHistogram.Histogram;
 
-/** What a run came to: counts, latencies as clients see them, and a row for each second. */
+/**
+ * Collects the results of a run: counters, latencies as observed by clients, and counts per second. Not thread-safe.
+ */
 public final class Tally {
 
     private static final long MAX_LATENCY_MICROS = 60_000_000;
     private static final int SIGNIFICANT_DIGITS = 3;
     private static final int WORST_WINDOW_SECONDS = 10;
 
-    /** One second: first tries asked in it, by what became of them in the end. */
+    /** Requests first sent within one second, by their final outcome. */
     public static final class Second {
         public int asked;
         public int inTime;
@@ -51,7 +53,7 @@
         return seconds.get(index);
     }
 
-    /** How a client's request ended, all its tries taken together. */
+    /** The final outcome of a client's request after all its tries. */
     public enum End {
         IN_TIME,
         LATE,
@@ -62,15 +64,18 @@
         LEFT
     }
 
-    /** A client has sent a request, for the first time or again. */
+    /** Counts a request sent by a client, first tries and retries alike. */
     public void tried() {
         tries++;
     }
 
     /**
-     * A request is over.
+     * Records the final outcome of a request.
      *
-     * @param askedAt since the count began; what was asked before it is left out
+     * @param askedAt       microseconds between the start of counting and the first try; requests with a negative value are
+     *                      ignored
+     * @param latencyMicros latency as observed by the client; recorded only for served requests
+     * @param worth         value of an answer in time
      */
     public void ended(long askedAt, End end, long latencyMicros, double worth) {
         if (askedAt < 0) {
@@ -109,142 +114,142 @@
         }
     }
 
-    /** A router had the value. */
+    /** Counts a cache hit at a router. */
     public void hit() {
         hits++;
     }
 
-    /** A router did not have the value. */
+    /** Counts a cache miss at a router. */
     public void missed() {
         misses++;
     }
 
-    /** A router or the origin has refused a request without running it. */
+    /** Counts a request that a router or the origin rejected without executing it. */
     public void turnedAway() {
         turnedAway++;
     }
 
-    /** A read has reached the origin. */
+    /** Counts a read at the origin. */
     public void fetched() {
         fetches++;
     }
 
-    /** The origin has performed a write. */
+    /** Counts a write executed by the origin. */
     public void wrote() {
         writes++;
     }
 
-    /** The origin has recognised a write that it had performed before. */
+    /** Counts a repeated write that the origin recognised and dropped. */
     public void repeatDropped() {
         repeatsDropped++;
     }
 
-    /** A host has answered a probe. */
+    /** Counts a probe answered by a host. */
     public void probed() {
         probes++;
     }
 
-    /** A host has made an answer whose connection is gone. */
+    /** Counts an answer that a host produced after its connection had closed. */
     public void wasted() {
         wastedRuns++;
     }
 
-    /** Requests as sent, repeats included. */
+    /** Returns the number of requests sent, including retries. */
     public long tries() {
         return tries;
     }
 
-    /** Requests of clients, without repeats. */
+    /** Returns the number of client requests, excluding retries. */
     public long asked() {
         return asked;
     }
 
-    /** Requests answered within the aim of their class. */
+    /** Returns the number of requests served within the latency objective of their class. */
     public long inTime() {
         return inTime;
     }
 
-    /** Requests answered after the aim of their class. */
+    /** Returns the number of requests served after the latency objective of their class. */
     public long late() {
         return late;
     }
 
-    /** Requests whose last try got a back-off answer. */
+    /** Returns the number of requests whose last try got a back-off answer. */
     public long refused() {
         return refused;
     }
 
-    /** Requests whose last try got an error. */
+    /** Returns the number of requests whose last try got an error. */
     public long failed() {
         return failed;
     }
 
-    /** Requests whose last try had no answer: the connection broke, or nothing came. */
+    /** Returns the number of requests whose last try got no answer: it timed out or its connection closed. */
     public long lost() {
         return lost;
     }
 
-    /** Requests for which no balancer could be reached. */
+    /** Returns the number of requests for which no balancer could be reached. */
     public long unreached() {
         return unreached;
     }
 
-    /** Requests whose client went away by itself; no other figure holds them. */
+    /** Returns the number of requests whose client left early; no other count includes them. */
     public long left() {
         return left;
     }
 
-    /** Reads for which a router had the value. */
+    /** Returns the number of cache hits at routers. */
     public long hits() {
         return hits;
     }
 
-    /** Reads for which a router did not have the value. */
+    /** Returns the number of cache misses at routers. */
     public long misses() {
         return misses;
     }
 
-    /** Requests that routers and origin refused without running them. */
+    /** Returns the number of requests that routers and the origin rejected without executing them. */
     public long turnedAwayByHosts() {
         return turnedAway;
     }
 
-    /** Reads that reached the origin. */
+    /** Returns the number of reads at the origin. */
     public long fetches() {
         return fetches;
     }
 
-    /** Writes that the origin performed. */
+    /** Returns the number of writes executed by the origin. */
     public long writes() {
         return writes;
     }
 
-    /** Repeated writes that the origin recognised and did not perform again. */
+    /** Returns the number of repeated writes that the origin recognised and dropped. */
     public long repeatsDropped() {
         return repeatsDropped;
     }
 
-    /** Probes that hosts answered. */
+    /** Returns the number of probes answered by hosts. */
     public long probes() {
         return probes;
     }
 
-    /** Answers that hosts made for nobody: whoever asked had gone. */
+    /** Returns the number of answers that hosts produced after their connections had closed. */
     public long wastedRuns() {
         return wastedRuns;
     }
 
-    /** Hits over all reads at routers, 0 without any. */
+    /** Returns the cache hit ratio at routers, 0 to 1; 0 if there were no reads. */
     public double hitShare() {
         return hits + misses == 0 ? 0 : (double) hits / (hits + misses);
     }
 
-    /** Worth answered within its aim over the worth asked for. */
+    /** Returns the share of the requested worth that was served within its latency objective, 0 to 1. */
     public double inTimeShare() {
         return worthAsked == 0 ? 0 : worthInTime / worthAsked;
     }
 
-    /** The same in the worst ten seconds on end. */
+    /** Returns the lowest in-time share of worth over any ten consecutive seconds, 0 to 1. */
     public double worstShare() {
         double worst = 1;
         int windowSeconds = Math.min(WORST_WINDOW_SECONDS, seconds.size());
@@ -260,12 +265,12 @@
         return worst;
     }
 
-    /** Microseconds at a percentile of what was served. */
+    /** Returns the latency of served requests at a percentile (0 to 100), in microseconds; 0 if none was served. */
     public long latency(double percentile) {
         return latencies.getTotalCount() == 0 ? 0 : latencies.getValueAtPercentile(percentile);
     }
 
-    /** A row for each second, from the first on. */
+    /** Returns the counts of each second, in order, starting with the first. */
     public List<Second> seconds() {
         return List.copyOf(seconds);
     }
--- a/emulator/src/main/java/baymoor/emulator/sockets/Configurations.java
+++ b/emulator/src/main/java/baymoor/emulator/sockets/Configurations.java
@@ -7,12 +7,12 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** Writes what real balancers are told at their start. */
+/** Writes the configuration files of balancer processes. */
 final class Configurations {
 
     private Configurations() {}
 
-    /** The file of one balancer, as it should start now. */
+    /** Writes the configuration for a start of one balancer now, and returns its path. */
     static Path write(Scenario scenario, SocketPlatform platform, World world, long seed, int number, Path folder)
             throws IOException {
         String json = BalancerConfig.json(scenario, platform, world, number, seed);
--- a/emulator/src/main/java/baymoor/emulator/sockets/PeerDatagramForwarder.java
+++ b/emulator/src/main/java/baymoor/emulator/sockets/PeerDatagramForwarder.java
@@ -13,12 +13,12 @@
 import org.apache.mina.transport.socket.nio.NioDatagramAcceptor;
 
 /**
- * The datagrams of balancers to each other, by way of the fabric. Each balancer knows each other one at an address of its own: it
- * sends there, and what comes from the other comes from there too.
+ * Forwards datagrams between balancers through the simulated network. Each balancer sees every peer at a separate
+ * address: it sends to that address, and datagrams from the peer have it as their source.
  */
 final class PeerDatagramForwarder {
 
-    /** Who sends to an address, and to whom that goes on. */
+    /** The sender and the receiver of the datagrams that arrive at one address. */
     private record Route(int from, int to) {}
 
     private final Map<SocketAddress, Route> routes = new HashMap<>();
@@ -29,7 +29,7 @@
         this.platform = platform;
     }
 
-    /** Opens the paths between all balancers. */
+    /** Opens the addresses of all pairs of balancers and starts forwarding. */
     static PeerDatagramForwarder open(
             SocketPlatform platform, int balancers, int zones, Fabric fabric, DecisionThread thread)
             throws IOException {
@@ -57,7 +57,7 @@
 
             @Override
             public void exceptionCaught(IoSession session, Throwable cause) {
-                session.closeNow(); // whoever it was for is not there now, as with any datagram
+                session.closeNow(); // the receiver is down, and the datagram is lost
             }
         });
         if (!forwarder.routes.isEmpty()) {
--- a/emulator/src/main/java/baymoor/emulator/sockets/ProcessFleet.java
+++ b/emulator/src/main/java/baymoor/emulator/sockets/ProcessFleet.java
@@ -16,7 +16,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Real balancers, each a process of the serving program, between the stand-ins of a world on loopback. */
+/**
+ * Runs each balancer as a process of the built program, against simulated hosts on loopback. Its methods run on the
+ * decision thread, except {@link #close}.
+ */
 public final class ProcessFleet implements Fleet {
 
     private static final Logger LOG = LoggerFactory.getLogger(ProcessFleet.class);
@@ -48,9 +51,9 @@
     }
 
     /**
-     * @param folder  for configurations and logs
-     * @param workingDirectory    where the command is started
-     * @param command that serves, for a shell
+     * @param folder           directory for configurations and logs
+     * @param workingDirectory directory in which the command is started
+     * @param command          shell command that starts a balancer
      */
     public ProcessFleet(
             Scenario scenario,
@@ -78,7 +81,7 @@
         IntStream.range(0, scenario.balancers().count()).forEach(b -> balancers.add(new Balancer(b)));
     }
 
-    /** Starts all of them. On the decision thread. */
+    /** Starts all balancers. Must be called on the decision thread. */
     public void startAll() {
         balancers.forEach(this::start);
     }
@@ -104,7 +107,7 @@
             b.exitExpected = false;
             process.onExit().thenRun(() -> thread.post(() -> handleExit(b, process)));
         } catch (IOException e) {
-            judge.invariant("n" + b.number, "can't be started: " + e.getMessage());
+            judge.invariant("n" + b.number, "process cannot be started: " + e.getMessage());
             return;
         }
         awaitReady(b, b.process);
@@ -115,7 +118,7 @@
             return;
         }
         if (!b.exitExpected) {
-            judge.invariant("n" + b.number, "ended by itself with " + process.exitValue());
+            judge.invariant("n" + b.number, "process exited unexpectedly with code " + process.exitValue());
         }
         b.ready = false;
         watcher.ended(b.number);
@@ -136,7 +139,7 @@
                 });
     }
 
-    /** Whether all of them run and answer. */
+    /** Returns whether all balancers are running and answer. */
     public boolean allReady() {
         return balancers.stream().allMatch(b -> b.ready);
     }
@@ -189,11 +192,11 @@
         try {
             new ProcessBuilder("/bin/kill", signal, Long.toString(process.pid())).start();
         } catch (IOException e) {
-            LOG.atWarn().addKeyValue("signal", signal).log("can't be sent: {}", e.getMessage());
+            LOG.atWarn().addKeyValue("signal", signal).log("signal cannot be sent: {}", e.getMessage());
         }
     }
 
-    /** Ends all of them, by SIGTERM first, and waits until they are gone. */
+    /** Stops all balancers, with SIGTERM first and SIGKILL after a timeout, and waits until they have exited. */
     public void close() throws InterruptedException {
         closing = true;
         for (Balancer b : balancers) {
--- a/emulator/src/main/java/baymoor/emulator/sockets/ReadinessProbe.java
+++ b/emulator/src/main/java/baymoor/emulator/sockets/ReadinessProbe.java
@@ -9,7 +9,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.function.BooleanSupplier;
 
-/** Calls a balancer with PING, again and again, until it answers or nobody wants to know any more. */
+/** Sends PING to a balancer repeatedly until it answers or the result is no longer needed. Runs on the decision thread. */
 final class ReadinessProbe implements LinkEvents {
 
     private static final long RETRY_DELAY_MICROS = 20_000;
@@ -52,7 +52,7 @@
 
     @Override
     public void written() {
-        // The answer tells.
+        // Readiness is decided by the answer.
     }
 
     @Override
--- a/emulator/src/main/java/baymoor/emulator/sockets/SocketPlatform.java
+++ b/emulator/src/main/java/baymoor/emulator/sockets/SocketPlatform.java
@@ -17,8 +17,8 @@
 import java.net.UnknownHostException;
 
 /**
- * A world on loopback: each balancer reaches each host at an address of its own, so that hosts know who asks. All
- * state machines share one thread, as those of a balancer do.
+ * Runs a world on loopback sockets. Each balancer reaches each host at a separate address, so that hosts can tell the
+ * balancers apart. All state machines run on one decision thread.
  */
 public final class SocketPlatform implements Platform {
 
@@ -39,13 +39,13 @@
     private final long unixOffsetMillis;
     private PeerDatagramForwarder peerForwarder;
 
-    /** @param streams from which the fabric's chance comes */
+    /** @param streams source of the simulated network's random stream */
     public SocketPlatform(DecisionThread thread, MinaNet net, Scenario scenario, Streams streams) throws IOException {
         balancers = scenario.balancers().count();
         zones = scenario.zones().size();
         peersEnabled = scenario.balancers().peers();
         if (balancers > MAX_BALANCERS) {
-            throw new IOException("on sockets a world has " + MAX_BALANCERS + " balancers at the most");
+            throw new IOException("a world on sockets has at most " + MAX_BALANCERS + " balancers");
         }
         this.thread = thread;
         this.net = net;
@@ -55,7 +55,7 @@
         unixOffsetMillis = System.currentTimeMillis() - thread.read() / 1000;
     }
 
-    /** Opens the ways on which the balancers' datagrams go, where they tell each other anything. */
+    /** Starts forwarding datagrams between balancers if the scenario enables peers. */
     void openPeers() throws IOException {
         if (peersEnabled) {
             peerForwarder = PeerDatagramForwarder.open(this, balancers, zones, fabric, thread);
@@ -68,12 +68,12 @@
         }
     }
 
-    /** What the faults between the processes came to. */
+    /** Returns the counts of injected network faults. */
     public Fabric.Counts faults() {
         return fabric.counts();
     }
 
-    /** A port that is free at the balancers' addresses and one above it, where they talk to each other. */
+    /** Returns a port that is free at the first balancer's address; peers use the port above it. */
     private int freePort() throws IOException {
         IOException lastFailure = null;
         for (int i = 0; i < MAX_PORT_ATTEMPTS; i++) {
@@ -97,7 +97,7 @@
             byte[] octets = {127, (byte) network, (byte) processOctet, (byte) (number + 1)};
             return new InetSocketAddress(InetAddress.getByAddress(octets), at);
         } catch (UnknownHostException e) {
-            throw new IllegalStateException("four bytes are an address", e);
+            throw new IllegalStateException("a four-byte address must be valid", e);
         }
     }
 
@@ -120,7 +120,7 @@
                     address(place, balancer),
                     link -> fabric.between(link, balancer % zones, zone, wire -> acceptor.accept(wire, balancer)));
         } catch (IOException e) {
-            throw new UncheckedIOException(host + " can't listen at " + address(place, balancer), e);
+            throw new UncheckedIOException(host + " cannot listen at " + address(place, balancer), e);
         }
     }
 
@@ -148,7 +148,7 @@
 
     @Override
     public InetSocketAddress peer(int number, int seenBy) {
-        // Others are known by the fabric's addresses, which are free for datagrams where hosts listen for connections.
+        // Peers share the hosts' addresses: hosts listen on TCP there, so the same ports are free for UDP.
         return number == seenBy
                 ? address(BALANCER_NETWORK, number, port + 1)
                 : address(FIRST_HOST_NETWORK + seenBy, number, port);
--- a/emulator/src/main/java/baymoor/emulator/sockets/SocketRouter.java
+++ b/emulator/src/main/java/baymoor/emulator/sockets/SocketRouter.java
@@ -10,14 +10,18 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 
-/** One router alone under load on loopback, in real time. */
+/** Runs a single router under load on loopback, in real time. */
 public final class SocketRouter {
 
     private static final long GRACE_SECONDS = 30;
 
     private SocketRouter() {}
 
-    /** Loads one router on loopback until the run is over. */
+    /**
+     * Runs the load to its end and returns its results.
+     *
+     * @throws IOException if the run fails or does not end in time
+     */
     public static RouterLoad play(Scenario scenario, long seed, double load) throws IOException, InterruptedException {
         String[] failure = new String[1];
         DecisionThread thread = new DecisionThread(new Counters(), line -> failure[0] = line);
@@ -34,7 +38,7 @@
             new Thread(thread, "router").start();
             long seconds = scenario.durationMicros() / 1_000_000 + GRACE_SECONDS;
             if (!finished.await(seconds, TimeUnit.SECONDS) || failure[0] != null) {
-                throw new IOException("the load did not end: " + failure[0]);
+                throw new IOException("router run failed or did not end in time: " + failure[0]);
             }
             return run[0];
         } finally {
--- a/emulator/src/main/java/baymoor/emulator/sockets/SocketRun.java
+++ b/emulator/src/main/java/baymoor/emulator/sockets/SocketRun.java
@@ -23,7 +23,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Plays a scenario on loopback in real time: stand-ins of all but the balancers, and these as real processes. */
+/** Runs a scenario on loopback in real time, with balancers as processes and every other component simulated. */
 public final class SocketRun {
 
     private static final Logger LOG = LoggerFactory.getLogger(SocketRun.class);
@@ -31,17 +31,28 @@
     private static final long POLL_INTERVAL_MICROS = 50_000;
     private static final int MAX_KEPT_VIOLATIONS = 100;
 
-    /** How far it has come. {@code phase} is one word; seconds are those played so far and in all. */
+    /**
+     * The progress of a run.
+     *
+     * @param phase   one word
+     * @param seconds elapsed time of the scenario
+     * @param of      total time of the scenario in seconds
+     */
     public record Progress(String phase, double seconds, double of, long asked, long inTime, int broken) {}
 
     /**
-     * @param folder  for configurations and logs
-     * @param workingDirectory    where the serving command is started
-     * @param command that serves, for a shell
+     * @param folder           directory for configurations and logs
+     * @param workingDirectory directory in which the command is started
+     * @param command          shell command that starts a balancer
      */
     public record Options(long seed, Path folder, Path workingDirectory, String command, Consumer<Progress> progress) {}
 
-    /** What came of it; {@code faults} is what befell the ways between the processes. */
+    /**
+     * The results of a run.
+     *
+     * @param broken the first violations; further ones are only counted in the summary
+     * @param faults counts of injected network faults
+     */
     public record Result(Summary summary, List<Broken> broken, Fabric.Counts faults) {}
 
     private final Scenario scenario;
@@ -68,7 +79,11 @@
         net = new MinaNet(thread);
     }
 
-    /** Plays a scenario with balancers as processes and all other parts on loopback sockets. */
+    /**
+     * Runs a scenario to its end.
+     *
+     * @throws IOException if a balancer does not start in time or a task of the run fails
+     */
     public static Result play(Scenario scenario, Options options) throws IOException, InterruptedException {
         return new SocketRun(scenario, options).play();
     }
@@ -143,7 +158,7 @@
             world.begin();
             poll();
         } else if (thread.now() > until) {
-            failure = "a balancer did not answer within " + START_SECONDS + " s; see the logs in " + options.folder();
+            failure = "balancers not ready within " + START_SECONDS + " s; see the logs in " + options.folder();
             finished.countDown();
         } else {
             reportProgress("starting", 0);
--- a/emulator/src/main/java/baymoor/emulator/sockets/StandIns.java
+++ b/emulator/src/main/java/baymoor/emulator/sockets/StandIns.java
@@ -24,7 +24,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A world on loopback for balancers that somebody else starts, from configurations that are written for them. */
+/** Simulates hosts, discovery and clients on loopback for balancers that are started externally from generated files. */
 public final class StandIns implements Closeable {
 
     private static final Logger LOG = LoggerFactory.getLogger(StandIns.class);
@@ -48,7 +48,7 @@
         this.seed = seed;
     }
 
-    /** @param load whether the scenario's clients ask and its script is played, once all balancers answer */
+    /** @param load whether to run the scenario's clients and script once all balancers answer */
     public static StandIns start(Scenario scenario, long seed, Path folder, boolean load)
             throws IOException, InterruptedException {
         StandIns standIns = new StandIns(scenario, seed);
@@ -123,19 +123,19 @@
         }
     }
 
-    /** The configuration files written for the balancers, in the order of their numbers. */
+    /** Returns the generated configuration files, ordered by balancer number. */
     public List<Path> configurations() {
         return List.copyOf(configurations);
     }
 
-    /** Waits until the load is over, for so long at the most. */
+    /** Waits until the load ends, at most the given number of seconds. */
     public void await(long seconds) throws InterruptedException {
         if (!finished.await(seconds, TimeUnit.SECONDS)) {
-            LOG.warn("ended before the load did");
+            LOG.warn("stopped waiting before the load ended");
         }
     }
 
-    /** What came of the load. */
+    /** Returns the results of the load so far. */
     public Summary summary() {
         double seconds = startedAt == 0 ? 0 : (thread.read() - startedAt) / 1e6;
         return new Summary(scenario.name(), "sockets", seed, "", seconds, seconds, 0, tally, judge.counts());
@@ -149,7 +149,7 @@
         net.close();
     }
 
-    /** Balancers that are somebody else's: the script can't befall them. */
+    /** Balancers managed externally; the script's actions on them are ignored. */
     private static final class ExternalFleet implements Fleet {
         private final boolean[] ready;
 
@@ -176,7 +176,9 @@
         }
 
         private static void logIgnored(int balancer) {
-            LOG.atWarn().addKeyValue("instance", "n" + balancer).log("not ours to restart, kill or stall: left alone");
+            LOG.atWarn()
+                    .addKeyValue("instance", "n" + balancer)
+                    .log("balancer is managed externally; ignoring restart, kill or stall");
         }
 
         @Override
