--- a/emulator/src/main/java/baymoor/emulator/judge/Judge.java
+++ b/emulator/src/main/java/baymoor/emulator/judge/Judge.java
@@ -18,21 +18,16 @@
 import java.util.zip.CRC32C;
 
 /**
- * Checks a run against the {@link Rule rules}. The driver reports what clients, hosts and discovery observe and, where
- * it can see them, the balancers' own connections. The judge is a state machine without I/O: events are reported in the
- * order in which they happen, and {@link #look} is called periodically. A request is kept for 30 s
- * after it ends, so memory is bounded by recent traffic. Not thread-safe: all calls come from one thread.
+ * Checks a run against the {@link Rule rules}. The driver reports events of clients, hosts, discovery and, where visible,
+ * of the balancers' own connections in the order in which they happen, and calls {@link #look} periodically. A state
+ * machine without I/O, not thread-safe. Ended requests are kept for 30 s, so memory is bounded by recent traffic.
  */
 public final class Judge {
 
-    /** How long an ended request is kept, so that late events are still attributed to it. */
     private static final long RETENTION_MICROS = 30_000_000;
-
     private static final double MAX_COLD_SHARE = 0.3;
     private static final double MAX_COLD_EXCESS = 1.25;
-    /** Share of a fallen router's work from which on the balancers that knew of its start are held responsible. */
     private static final double MIN_INFORMED_SHARE = 2.0 / 3;
-
     private static final long CLIENT_LEFT_GRACE_MICROS = 100_000;
     private static final int TOLERATED_LATE_ATTEMPTS = 2;
 
@@ -118,8 +113,7 @@
                     reportViolation(
                             Rule.ONE_RELAY_AT_A_TIME,
                             request,
-                            "attempt at " + overlap.host + " still outstanding " + slackMicros
-                                    + " us after the next attempt began");
+                            "still outstanding at " + overlap.host + " " + slackMicros + " us after the next attempt");
                 }
             }
         }
@@ -146,11 +140,7 @@
         }
     }
 
-    /**
-     * Records that the client has received a complete answer.
-     *
-     * @param value the served value; only read if {@code kind} is {@code SERVED}
-     */
+    /** Records that the client has received a complete answer; {@code value} is read only if it was served. */
     public void answered(String id, AnswerKind kind, byte[] value) {
         RequestRecord request = requests.get(id);
         if (request == null) {
@@ -169,16 +159,11 @@
         } else if (kind == AnswerKind.REFUSED
                 && request.requestClass.effect() == Effect.UNSAFE
                 && request.mayHaveExecuted()) {
-            reportViolation(
-                    Rule.HARMLESS_REFUSAL, request, "back-off answer to an unsafe request that may have been executed");
+            reportViolation(Rule.HARMLESS_REFUSAL, request, "an unsafe request that may have executed was refused");
         }
     }
 
-    /**
-     * Records that the client's connection ended before an answer.
-     *
-     * @param byBalancer whether a running balancer closed it
-     */
+    /** Records that a connection ended before an answer; {@code byBalancer}: closed by a running balancer. */
     public void lost(String id, boolean byBalancer) {
         RequestRecord request = requests.get(id);
         if (request != null && !request.ended) {
@@ -262,9 +247,7 @@
         for (Attempt attempt : request.attempts) {
             if (attempt.outstanding && slackMicros == 0) {
                 reportViolation(
-                        Rule.ONE_RELAY_AT_A_TIME,
-                        request,
-                        "sent to " + host + " while an attempt is outstanding at " + attempt.host);
+                        Rule.ONE_RELAY_AT_A_TIME, request, "sent to " + host + " while active at " + attempt.host);
             } else if (attempt.outstanding) {
                 attempt.overlapSuspected = true;
                 attempt.overlapSuspectedAt = now;
@@ -273,9 +256,7 @@
             // With delayed reports a refusal may arrive late; ran() then checks the actual executions.
             if (!attempt.notExecuted && request.requestClass.effect() == Effect.UNSAFE && slackMicros == 0) {
                 reportViolation(
-                        Rule.UNSAFE_ONCE,
-                        request,
-                        "sent to " + host + " after it may have been executed at " + attempt.host);
+                        Rule.UNSAFE_ONCE, request, "sent to " + host + " but may have executed at " + attempt.host);
             }
         }
         if (request.requestClass.effect() == Effect.KEYED
@@ -284,16 +265,14 @@
             reportViolation(
                     Rule.KEYED_ONCE,
                     request,
-                    "sent again " + (now - request.firstPossibleExecutionAt)
-                            + " us after an attempt that may have been executed");
+                    "sent again " + (now - request.firstPossibleExecutionAt) + " us after it may have executed");
         }
         OptionalLong stoppedAt = listedStates.stoppedAt(balancer, host);
         if (stoppedAt.isPresent() && now - stoppedAt.getAsLong() > figures.drainGraceMicros() + slackMicros) {
             reportViolation(
                     Rule.DRAINED,
                     request,
-                    "sent to " + host + " " + (now - stoppedAt.getAsLong())
-                            + " us after the host was reported as stopped");
+                    "sent to " + host + " " + (now - stoppedAt.getAsLong()) + " us after it was reported stopped");
         }
         request.attempts.add(new Attempt(host, connection));
         request.firstPossibleExecutionAt =
@@ -332,11 +311,7 @@
 
     // ---- hosts
 
-    /**
-     * Records that a host has answered an attempt completely.
-     *
-     * @param notExecuted whether the answer was a miss or a refusal, so that nothing was executed
-     */
+    /** Records a host's complete answer; {@code notExecuted}: a miss or a refusal, so that nothing was executed. */
     public void hostAnswered(String id, String host, boolean notExecuted) {
         RequestRecord request = requests.get(id);
         if (request == null) {
@@ -360,8 +335,7 @@
         } else if (request.executions > 1
                 && request.requestClass.effect() == Effect.KEYED
                 && clock.getAsLong() - request.firstExecutedAt <= request.requestClass.windowMicros()) {
-            // Beyond the window hosts no longer drop repeats; one sent in time but queued there is not the balancer's
-            // fault.
+            // Beyond the window hosts no longer drop repeats, so one that waited there may execute again.
             reportViolation(Rule.KEYED_ONCE, request, "took effect " + request.executions + " times");
         }
     }
@@ -376,12 +350,7 @@
 
     // ---- discovery
 
-    /**
-     * Records that discovery has reported a host's state to a balancer.
-     *
-     * @param stopped     whether the host drains or is gone
-     * @param sinceMicros when the host last started, in microseconds; 0 if long ago
-     */
+    /** Records a reported host state: {@code stopped} if draining or gone; {@code sinceMicros}: last start, 0 if old. */
     public void told(int balancer, String host, boolean stopped, long sinceMicros) {
         listedStates.update(balancer, host, stopped, sinceMicros, clock.getAsLong());
     }
@@ -391,11 +360,7 @@
         return listedStates.knowsStart(balancer, host, sinceMicros);
     }
 
-    /**
-     * Records that a cold router was overloaded.
-     *
-     * @param informedShare share of its work that came from balancers that knew of its start, 0 to 1
-     */
+    /** Records that a cold router was overloaded; {@code informedShare}: work from balancers that knew of its start. */
     public void tipped(String host, double informedShare) {
         if (informedShare >= MIN_INFORMED_SHARE) {
             reportViolation(
@@ -409,12 +374,7 @@
         }
     }
 
-    /**
-     * Records that the origin was overloaded.
-     *
-     * @param coldShare share of its load that came from misses at cold routers, 0 to 1
-     * @param excess    ratio of that load to what the routers' warm-up weights allow
-     */
+    /** Records an origin overload: {@code coldShare} of its load, {@code excess} times the expected, were cold misses. */
     public void originFell(double coldShare, double excess) {
         if (coldShare > MAX_COLD_SHARE && excess > MAX_COLD_EXCESS) {
             reportViolation(
