--- a/emulator/src/test/java/baymoor/emulator/EmulatorLayoutTest.java
+++ b/emulator/src/test/java/baymoor/emulator/EmulatorLayoutTest.java
@@ -8,30 +8,30 @@
 import com.tngtech.archunit.lang.syntax.ArchRuleDefinition;
 import org.junit.Test;
 
-/** Packages and modules import in one direction, and the world knows no socket. */
+/** Tests that dependencies between packages and modules have one direction and that state machines use no sockets. */
 public class EmulatorLayoutTest {
 
     @Test
     public void packagesImportInOneDirection() {
-        JavaClasses program = new ClassFileImporter()
+        JavaClasses classes = new ClassFileImporter()
                 .withImportOption(new ImportOption.DoNotIncludeTests())
                 .importPackages("baymoor", "merlinstep");
-        slices().matching("baymoor.emulator.(*)..").should().beFreeOfCycles().check(program);
+        slices().matching("baymoor.emulator.(*)..").should().beFreeOfCycles().check(classes);
         ArchRuleDefinition.noClasses()
                 .that()
                 .resideOutsideOfPackages("baymoor.emulator..", "baymoor.cli..")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage("baymoor.emulator..", "baymoor.cli..")
-                .because("what serves knows no tool")
-                .check(program);
+                .because("production code must not depend on tools")
+                .check(classes);
         ArchRuleDefinition.noClasses()
                 .that()
                 .resideInAPackage("baymoor.emulator..")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage("baymoor.cli..")
-                .check(program);
+                .check(classes);
         ArchRuleDefinition.noClasses()
                 .that()
                 .resideInAnyPackage(
@@ -44,8 +44,8 @@
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage("baymoor.net..", "org.apache.mina..", "java.nio.channels..")
-                .because("a state machine knows no socket")
-                .check(program);
+                .because("state machines must not use sockets")
+                .check(classes);
         ArchRuleDefinition.noClasses()
                 .that()
                 .resideInAnyPackage("baymoor.emulator.judge..")
@@ -57,7 +57,7 @@
                         "baymoor.emulator.sockets..",
                         "java.io..",
                         "java.nio.file..")
-                .because("the judge hears what happened and does nothing else")
-                .check(program);
+                .because("the judge only evaluates reported events")
+                .check(classes);
     }
 }
