--- a/emulator/src/main/java/baymoor/emulator/virtual/VirtualLink.java
+++ b/emulator/src/main/java/baymoor/emulator/virtual/VirtualLink.java
@@ -62,7 +62,7 @@
     }
 
     /** Returns whether either side or the network has closed it. */
-    boolean isClosed() {
+    boolean isClosedOnAnySide() {
         return closeDelivered || closedLocally || closedRemotely;
     }
 
--- a/emulator/src/main/java/baymoor/emulator/virtual/VirtualNet.java
+++ b/emulator/src/main/java/baymoor/emulator/virtual/VirtualNet.java
@@ -227,7 +227,7 @@
     /** Handles the arrival of a connection attempt at its destination. */
     private void connectArrived(VirtualLink callerLink, VirtualProcess from, InetSocketAddress to) {
         Listener at = listeners.get(to);
-        if (callerLink.isClosed()) {
+        if (callerLink.isClosedOnAnySide()) {
             return;
         }
         if (at == null) {
