--- a/balancer/src/main/java/baymoor/north/RespClient.java
+++ b/balancer/src/main/java/baymoor/north/RespClient.java
@@ -264,10 +264,9 @@
         switch (name) {
             case "OBJ.GET" -> handleRequest(arguments, GET_ARITY);
             case "OBJ.SET" -> handleRequest(arguments, SET_ARITY);
-            case "PING" ->
-                replyOther(arguments.size() > 1 ? RespWriter.bulk(arguments.get(1)) : RespWriter.simple("PONG"));
-            case "INFO" -> replyOther(RespWriter.bulk(RespWriter.ascii(north.counterReport.get())));
-            case "CLIENT", "SELECT" -> replyOther(RespWriter.simple("OK"));
+            case "PING" -> reply(arguments.size() > 1 ? RespWriter.bulk(arguments.get(1)) : RespWriter.simple("PONG"));
+            case "INFO" -> reply(RespWriter.bulk(RespWriter.ascii(north.counterReport.get())));
+            case "CLIENT", "SELECT" -> reply(RespWriter.simple("OK"));
             default -> {
                 boolean echoed =
                         name.length() <= MAX_ECHOED_NAME && name.chars().allMatch(c -> c > ' ' && c < 127);
@@ -276,7 +275,7 @@
         }
     }
 
-    private void replyOther(byte[] reply) {
+    private void reply(byte[] reply) {
         north.counters.add(Count.COMMANDS_OTHER);
         enqueueReply(reply);
     }
