--- a/balancer/src/main/java/baymoor/link/Link.java
+++ b/balancer/src/main/java/baymoor/link/Link.java
@@ -14,17 +14,17 @@
      * closing a socket with unread input would reset the connection. Input that arrives afterwards is dropped.
      * {@link LinkEvents#finished} reports the completion.
      *
-     * @param force if true, the output is closed whatever arrives; if false, it stays open where input has arrived that
+     * @param evenIfUnread if true, the output is closed whatever arrives; if false, it stays open where input has arrived that
      *              {@link LinkEvents#received} had not delivered before this call, and that input is delivered
      */
-    void finish(boolean force);
+    void shutdownOutput(boolean evenIfUnread);
 
     /** Returns whether input has arrived that {@link LinkEvents#received} has not delivered yet. */
-    boolean unread();
+    boolean hasUnreadBytes();
 
     /** Returns whether the connection is closed, even if {@link LinkEvents#closed} has not reported it yet. */
-    boolean over();
+    boolean isClosed();
 
     /** Pauses or resumes reading, for backpressure on a peer that sends faster than it is served. */
-    void reading(boolean on);
+    void setReading(boolean on);
 }
--- a/balancer/src/main/java/baymoor/link/LinkEvents.java
+++ b/balancer/src/main/java/baymoor/link/LinkEvents.java
@@ -12,7 +12,7 @@
     /** The last byte of one {@link Link#write} has been handed to the network. */
     void written();
 
-    /** The output has been closed, as requested by {@link Link#finish}; no more bytes are received. */
+    /** The output has been closed, as requested by {@link Link#shutdownOutput}; no more bytes are received. */
     default void finished() {}
 
     /** The connection has been closed, or could not be established. This is the last event. */
--- a/balancer/src/main/java/baymoor/net/MinaLink.java
+++ b/balancer/src/main/java/baymoor/net/MinaLink.java
@@ -167,7 +167,7 @@
      * connection is closed as idle would be lost.
      */
     @Override
-    public void finish(boolean evenIfUnread) {
+    public void shutdownOutput(boolean evenIfUnread) {
         IoSession currentSession = session;
         int expectedReads = evenIfUnread ? ANY_READ_COUNT : deliveredReads;
         WriteFuture markerWritten = new DefaultWriteFuture(currentSession);
@@ -185,17 +185,17 @@
     }
 
     @Override
-    public boolean unread() {
+    public boolean hasUnreadBytes() {
         return undeliveredBytes.get() > 0;
     }
 
     @Override
-    public boolean over() {
+    public boolean isClosed() {
         return disconnected;
     }
 
     @Override
-    public void reading(boolean on) {
+    public void setReading(boolean on) {
         updateReading(null, on);
     }
 }
--- a/balancer/src/main/java/baymoor/north/RespClient.java
+++ b/balancer/src/main/java/baymoor/north/RespClient.java
@@ -84,7 +84,7 @@
      * the current event: the request must not be rejected, for want of a sent attempt, before it is reported abandoned.
      */
     boolean isConnected() {
-        if (!disconnected && link.over()) {
+        if (!disconnected && link.isClosed()) {
             disconnected = true;
             north.time.after(0, this::abandonPending);
         }
@@ -110,7 +110,7 @@
         return !commandReceived
                 && !inputStopped
                 && !closing
-                && !link.unread()
+                && !link.hasUnreadBytes()
                 && north.time.now() - progressMicros > FIRST_COMMAND_GRACE_MICROS;
     }
 
@@ -122,8 +122,11 @@
     /** Closes the connection if one of its timeouts has expired. {@code crowded} shortens the idle timeout. */
     void checkTimeouts(boolean crowded) {
         long now = north.time.now();
-        boolean awaitingCommand =
-                !inputStopped && !closing && !readingPaused && !link.unread() && (!commandReceived || reader.pending());
+        boolean awaitingCommand = !inputStopped
+                && !closing
+                && !readingPaused
+                && !link.hasUnreadBytes()
+                && (!commandReceived || reader.pending());
         if (inputStopped || closing
                 ? replies.isEmpty() && now - progressMicros > CLOSE_TIMEOUT_MICROS
                 : unsentWrites > 0 && now - progressMicros > WRITE_TIMEOUT_MICROS) {
@@ -145,7 +148,7 @@
 
     /** Returns whether no reply is pending and no input is unprocessed. */
     boolean isIdle() {
-        return replies.isEmpty() && !reader.pending() && !link.unread();
+        return replies.isEmpty() && !reader.pending() && !link.hasUnreadBytes();
     }
 
     /** Returns whether all replies have been sent and the output is closed. */
@@ -164,7 +167,7 @@
             closing = true;
             north.markBusy(this);
             progressMicros = north.time.now();
-            link.finish(inputStopped);
+            link.shutdownOutput(inputStopped);
         }
     }
 
@@ -185,7 +188,7 @@
         if (!inputStopped) {
             inputStopped = true;
             north.markBusy(this);
-            link.reading(false);
+            link.setReading(false);
         }
     }
 
@@ -209,7 +212,7 @@
     @Override
     public void received(byte[] bytes) {
         // Guards against dispatching requests that a client sent before it disconnected.
-        if (inputStopped || link.over()) {
+        if (inputStopped || link.isClosed()) {
             return;
         }
         closing = false; // the input preceded the closing of the output
@@ -247,7 +250,7 @@
         }
         if (!inputStopped && writeBacklogFull() != readingPaused) {
             readingPaused = !readingPaused;
-            link.reading(!readingPaused);
+            link.setReading(!readingPaused);
         }
     }
 
--- a/balancer/src/main/java/baymoor/serve/WarmUp.java
+++ b/balancer/src/main/java/baymoor/serve/WarmUp.java
@@ -189,22 +189,22 @@
         }
 
         @Override
-        public void finish(boolean evenIfUnread) {
+        public void shutdownOutput(boolean evenIfUnread) {
             close();
         }
 
         @Override
-        public boolean unread() {
+        public boolean hasUnreadBytes() {
             return false;
         }
 
         @Override
-        public boolean over() {
+        public boolean isClosed() {
             return closed;
         }
 
         @Override
-        public void reading(boolean on) {}
+        public void setReading(boolean on) {}
     }
 
     private final class StubHost extends StubLink {
--- a/balancer/src/main/java/baymoor/south/HostConnection.java
+++ b/balancer/src/main/java/baymoor/south/HostConnection.java
@@ -53,7 +53,7 @@
      * the answer to the next attempt.
      */
     boolean reusable() {
-        return !link.unread() && !link.over();
+        return !link.hasUnreadBytes() && !link.isClosed();
     }
 
     /** Starts an attempt on this idle connection. */
--- a/balancer/src/test/java/baymoor/FakeLink.java
+++ b/balancer/src/test/java/baymoor/FakeLink.java
@@ -30,7 +30,7 @@
     }
 
     @Override
-    public void finish(boolean evenIfUnread) {
+    public void shutdownOutput(boolean evenIfUnread) {
         if (evenIfUnread || !unread) {
             closed = true;
             if (events != null) {
@@ -40,17 +40,17 @@
     }
 
     @Override
-    public boolean unread() {
+    public boolean hasUnreadBytes() {
         return unread;
     }
 
     @Override
-    public boolean over() {
+    public boolean isClosed() {
         return over;
     }
 
     @Override
-    public void reading(boolean on) {
+    public void setReading(boolean on) {
         reading = on;
     }
 
--- a/balancer/src/test/java/baymoor/net/MinaLinkTest.java
+++ b/balancer/src/test/java/baymoor/net/MinaLinkTest.java
@@ -90,7 +90,7 @@
 
     private void awaitUnread() {
         long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
-        while (!link.unread() && System.nanoTime() < deadlineNanos) {
+        while (!link.hasUnreadBytes() && System.nanoTime() < deadlineNanos) {
             Thread.onSpinWait();
         }
     }
@@ -101,7 +101,7 @@
             onReceived = more -> {};
             send("b");
             awaitUnread();
-            link.finish(false);
+            link.shutdownOutput(false);
         };
         send("a");
         assertEquals("a", nextDelivered());
@@ -120,7 +120,7 @@
         byte[] largeResponse = new byte[8 << 20];
         thread.post(() -> {
             link.write(largeResponse);
-            link.finish(false);
+            link.shutdownOutput(false);
         });
         send("b");
         assertEquals("b", nextDelivered());
@@ -135,7 +135,7 @@
         byte[] answer = new byte[300_000];
         onReceived = text -> {
             link.write(answer);
-            link.finish(false);
+            link.shutdownOutput(false);
         };
         send("a");
         assertEquals("a", nextDelivered());
@@ -153,7 +153,7 @@
             send("b");
             awaitUnread();
             link.write(new byte[] {'x'});
-            link.finish(true);
+            link.shutdownOutput(true);
         };
         send("a");
         assertEquals('x', client.getInputStream().read());
@@ -165,7 +165,7 @@
 
     @Test
     public void aClientThatKeepsSendingAfterFinishIsDisconnected() throws Exception {
-        onReceived = text -> link.finish(true);
+        onReceived = text -> link.shutdownOutput(true);
         send("a");
         assertEquals("a", nextDelivered());
         assertEquals("finished", nextDelivered());
@@ -180,7 +180,7 @@
         }
         assertTrue(connectionReset);
         assertEquals("closed", nextDelivered());
-        assertFalse(link.unread());
+        assertFalse(link.hasUnreadBytes());
     }
 
     @Test
@@ -192,10 +192,10 @@
                 throw new java.io.UncheckedIOException(e);
             }
             long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
-            while (!link.over() && System.nanoTime() < deadlineNanos) {
+            while (!link.isClosed() && System.nanoTime() < deadlineNanos) {
                 Thread.onSpinWait();
             }
-            delivered.add("over " + link.over());
+            delivered.add("over " + link.isClosed());
         };
         send("a");
         assertEquals("over true", nextDelivered());
--- a/emulator/src/main/java/baymoor/emulator/fabric/FabricConnection.java
+++ b/emulator/src/main/java/baymoor/emulator/fabric/FabricConnection.java
@@ -103,9 +103,9 @@
     }
 
     @Override
-    public void finish(boolean inAnyCase) {
+    public void shutdownOutput(boolean evenIfUnread) {
         if (canSend()) {
-            link.finish(inAnyCase);
+            link.shutdownOutput(evenIfUnread);
         } else {
             closeDuringCut();
         }
@@ -118,18 +118,18 @@
     }
 
     @Override
-    public boolean unread() {
-        return link.unread();
+    public boolean hasUnreadBytes() {
+        return link.hasUnreadBytes();
     }
 
     @Override
-    public boolean over() {
-        return link.over();
+    public boolean isClosed() {
+        return link.isClosed();
     }
 
     @Override
-    public void reading(boolean on) {
-        link.reading(on);
+    public void setReading(boolean on) {
+        link.setReading(on);
     }
 
     // Called by the real connection.
--- a/emulator/src/main/java/baymoor/emulator/virtual/VirtualLink.java
+++ b/emulator/src/main/java/baymoor/emulator/virtual/VirtualLink.java
@@ -287,8 +287,8 @@
     }
 
     @Override
-    public void finish(boolean inAnyCase) {
-        if (closedLocally || closeDelivered || !inAnyCase && undeliveredBytes > 0) {
+    public void shutdownOutput(boolean evenIfUnread) {
+        if (closedLocally || closeDelivered || !evenIfUnread && undeliveredBytes > 0) {
             return; // the pending bytes are delivered first and may change the decision
         }
         process.post(() -> {
@@ -300,17 +300,17 @@
     }
 
     @Override
-    public boolean over() {
+    public boolean isClosed() {
         return closeDelivered || closedRemotely;
     }
 
     @Override
-    public boolean unread() {
+    public boolean hasUnreadBytes() {
         return undeliveredBytes > 0;
     }
 
     @Override
-    public void reading(boolean on) {
+    public void setReading(boolean on) {
         reading = on;
         while (reading && !pausedDeliveries.isEmpty()) {
             deliver(pausedDeliveries.poll());
--- a/emulator/src/main/java/baymoor/emulator/world/Agent.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Agent.java
@@ -135,7 +135,7 @@
                 }
             } catch (HttpException e) {
                 closed = true;
-                link.finish(true);
+                link.shutdownOutput(true);
             }
         }
 
--- a/emulator/src/main/java/baymoor/emulator/world/DiscoveryService.java
+++ b/emulator/src/main/java/baymoor/emulator/world/DiscoveryService.java
@@ -358,7 +358,7 @@
             if (!closed) {
                 closed = true;
                 link.write(HttpRequests.response(status, reason, "Connection: close\r\n", EMPTY_BODY));
-                link.finish(true);
+                link.shutdownOutput(true);
                 connections.remove(this);
             }
         }
--- a/emulator/src/main/java/baymoor/emulator/world/Origin.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Origin.java
@@ -171,7 +171,7 @@
             } catch (HttpException e) {
                 answer(400, "Bad Request", "Connection: close\r\n", EMPTY_BODY);
                 closed = true;
-                link.finish(true);
+                link.shutdownOutput(true);
             }
         }
 
--- a/emulator/src/test/java/baymoor/emulator/RecordingLink.java
+++ b/emulator/src/test/java/baymoor/emulator/RecordingLink.java
@@ -19,20 +19,20 @@
     }
 
     @Override
-    public void finish(boolean inAnyCase) {
+    public void shutdownOutput(boolean evenIfUnread) {
         closed = true;
     }
 
     @Override
-    public boolean unread() {
+    public boolean hasUnreadBytes() {
         return false;
     }
 
     @Override
-    public boolean over() {
+    public boolean isClosed() {
         return closed;
     }
 
     @Override
-    public void reading(boolean on) {}
+    public void setReading(boolean on) {}
 }
--- a/emulator/src/test/java/baymoor/emulator/virtual/ForwardingLink.java
+++ b/emulator/src/test/java/baymoor/emulator/virtual/ForwardingLink.java
@@ -21,22 +21,22 @@
     }
 
     @Override
-    public void finish(boolean inAnyCase) {
-        real.finish(inAnyCase);
+    public void shutdownOutput(boolean evenIfUnread) {
+        real.shutdownOutput(evenIfUnread);
     }
 
     @Override
-    public boolean unread() {
-        return real.unread();
+    public boolean hasUnreadBytes() {
+        return real.hasUnreadBytes();
     }
 
     @Override
-    public boolean over() {
-        return real.over();
+    public boolean isClosed() {
+        return real.isClosed();
     }
 
     @Override
-    public void reading(boolean on) {
-        real.reading(on);
+    public void setReading(boolean on) {
+        real.setReading(on);
     }
 }
--- a/scale/src/main/java/baymoor/scale/hollow/DrawnClients.java
+++ b/scale/src/main/java/baymoor/scale/hollow/DrawnClients.java
@@ -112,7 +112,7 @@
         }
 
         @Override
-        public void finish(boolean inAnyCase) {
+        public void shutdownOutput(boolean evenIfUnread) {
             loop.after(0, Work.SERVING, () -> {
                 if (!over) {
                     events.finished();
@@ -123,17 +123,17 @@
         }
 
         @Override
-        public boolean unread() {
+        public boolean hasUnreadBytes() {
             return false;
         }
 
         @Override
-        public boolean over() {
+        public boolean isClosed() {
             return over;
         }
 
         @Override
-        public void reading(boolean on) {
+        public void setReading(boolean on) {
             // Its requests come one at a time.
         }
     }
--- a/scale/src/main/java/baymoor/scale/hollow/DrawnHost.java
+++ b/scale/src/main/java/baymoor/scale/hollow/DrawnHost.java
@@ -83,22 +83,22 @@
     }
 
     @Override
-    public void finish(boolean inAnyCase) {
+    public void shutdownOutput(boolean evenIfUnread) {
         close();
     }
 
     @Override
-    public boolean unread() {
+    public boolean hasUnreadBytes() {
         return false;
     }
 
     @Override
-    public boolean over() {
+    public boolean isClosed() {
         return over;
     }
 
     @Override
-    public void reading(boolean on) {
+    public void setReading(boolean on) {
         // Nothing is read from a connection of which nothing is written but answers.
     }
 }
--- a/scale/src/main/java/baymoor/scale/hollow/HollowBalancer.java
+++ b/scale/src/main/java/baymoor/scale/hollow/HollowBalancer.java
@@ -135,7 +135,7 @@
                     traffic.discoveryBytesOut += bytes;
                 }
             });
-            streams.removeIf(StreamLink::over);
+            streams.removeIf(StreamLink::isClosed);
             streams.add(link);
             return link;
         }
--- a/scale/src/main/java/baymoor/scale/loop/StreamLink.java
+++ b/scale/src/main/java/baymoor/scale/loop/StreamLink.java
@@ -135,7 +135,7 @@
     }
 
     @Override
-    public void finish(boolean inAnyCase) {
+    public void shutdownOutput(boolean evenIfUnread) {
         if (over) {
             return;
         }
@@ -148,17 +148,17 @@
     }
 
     @Override
-    public boolean unread() {
+    public boolean hasUnreadBytes() {
         return false;
     }
 
     @Override
-    public boolean over() {
+    public boolean isClosed() {
         return over;
     }
 
     @Override
-    public void reading(boolean on) {
+    public void setReading(boolean on) {
         if (!over && key != null && key.isValid()) {
             key.interestOps(on ? SelectionKey.OP_READ : 0);
         }
--- a/scale/src/main/java/baymoor/scale/run/CountedLink.java
+++ b/scale/src/main/java/baymoor/scale/run/CountedLink.java
@@ -31,22 +31,22 @@
     }
 
     @Override
-    public void finish(boolean inAnyCase) {
-        link.finish(inAnyCase);
+    public void shutdownOutput(boolean evenIfUnread) {
+        link.shutdownOutput(evenIfUnread);
     }
 
     @Override
-    public boolean unread() {
-        return link.unread();
+    public boolean hasUnreadBytes() {
+        return link.hasUnreadBytes();
     }
 
     @Override
-    public boolean over() {
-        return link.over();
+    public boolean isClosed() {
+        return link.isClosed();
     }
 
     @Override
-    public void reading(boolean on) {
-        link.reading(on);
+    public void setReading(boolean on) {
+        link.setReading(on);
     }
 }
