--- a/balancer/src/main/java/baymoor/link/Link.java
+++ b/balancer/src/main/java/baymoor/link/Link.java
@@ -12,7 +12,7 @@
     /**
      * Closes the output (a TCP half-close) once all queued bytes have been sent, so that the peer receives all of them:
      * closing a socket with unread input would reset the connection. Input that arrives afterwards is dropped.
-     * {@link LinkEvents#finished} reports the completion.
+     * {@link LinkEvents#outputShutDown} reports the completion.
      *
      * @param evenIfUnread if true, the output is closed whatever arrives; if false, it stays open where input has arrived that
      *              {@link LinkEvents#received} had not delivered before this call, and that input is delivered
--- a/balancer/src/main/java/baymoor/link/LinkEvents.java
+++ b/balancer/src/main/java/baymoor/link/LinkEvents.java
@@ -13,7 +13,7 @@
     void written();
 
     /** The output has been closed, as requested by {@link Link#shutdownOutput}; no more bytes are received. */
-    default void finished() {}
+    default void outputShutDown() {}
 
     /** The connection has been closed, or could not be established. This is the last event. */
     void closed();
--- a/balancer/src/main/java/baymoor/net/MinaLink.java
+++ b/balancer/src/main/java/baymoor/net/MinaLink.java
@@ -178,7 +178,7 @@
                 outputShutDown = true;
                 HalfClose.shutdownOutput(currentSession);
                 updateReading(false, true); // so that the peer's FIN is noticed
-                postEvent(() -> events.finished());
+                postEvent(() -> events.outputShutDown());
             }
         });
         currentSession.getFilterChain().fireFilterWrite(new DefaultWriteRequest(HalfClose.marker(), markerWritten));
--- a/balancer/src/main/java/baymoor/north/RespClient.java
+++ b/balancer/src/main/java/baymoor/north/RespClient.java
@@ -204,7 +204,7 @@
     }
 
     @Override
-    public void finished() {
+    public void outputShutDown() {
         outputClosed = true;
         inputStopped = true;
     }
--- a/balancer/src/test/java/baymoor/FakeLink.java
+++ b/balancer/src/test/java/baymoor/FakeLink.java
@@ -34,7 +34,7 @@
         if (evenIfUnread || !unread) {
             closed = true;
             if (events != null) {
-                events.finished();
+                events.outputShutDown();
             }
         }
     }
--- a/balancer/src/test/java/baymoor/net/MinaLinkTest.java
+++ b/balancer/src/test/java/baymoor/net/MinaLinkTest.java
@@ -54,7 +54,7 @@
                 public void written() {}
 
                 @Override
-                public void finished() {
+                public void outputShutDown() {
                     delivered.add("finished");
                 }
 
--- a/emulator/src/main/java/baymoor/emulator/fabric/FabricConnection.java
+++ b/emulator/src/main/java/baymoor/emulator/fabric/FabricConnection.java
@@ -159,9 +159,9 @@
     }
 
     @Override
-    public void finished() {
+    public void outputShutDown() {
         if (!hostNotified) {
-            host.finished();
+            host.outputShutDown();
         }
     }
 
--- a/emulator/src/main/java/baymoor/emulator/virtual/VirtualLink.java
+++ b/emulator/src/main/java/baymoor/emulator/virtual/VirtualLink.java
@@ -293,7 +293,7 @@
         }
         process.post(() -> {
             if (!closeDelivered && events != null) {
-                events.finished();
+                events.outputShutDown();
             }
         });
         close();
--- a/scale/src/main/java/baymoor/scale/hollow/DrawnClients.java
+++ b/scale/src/main/java/baymoor/scale/hollow/DrawnClients.java
@@ -115,7 +115,7 @@
         public void shutdownOutput(boolean evenIfUnread) {
             loop.after(0, Work.SERVING, () -> {
                 if (!over) {
-                    events.finished();
+                    events.outputShutDown();
                     close();
                 }
             });
--- a/scale/src/main/java/baymoor/scale/loop/StreamLink.java
+++ b/scale/src/main/java/baymoor/scale/loop/StreamLink.java
@@ -100,7 +100,7 @@
         key.interestOps(SelectionKey.OP_READ);
         if (finishing) {
             channel.shutdownOutput();
-            loop.after(0, events::finished);
+            loop.after(0, events::outputShutDown);
             finishing = false;
         }
     }
