--- a/balancer/src/main/java/baymoor/assembly/Assembly.java
+++ b/balancer/src/main/java/baymoor/assembly/Assembly.java
@@ -223,10 +223,10 @@
         }
         if (settings.module().membership() == Decisions.Membership.PUSH) {
             discovery.attend(settings.module().rules().drainGraceMicros());
-            time.after(FIRST_LIST_TIMEOUT_MICROS, this::becomeReady);
+            time.schedule(FIRST_LIST_TIMEOUT_MICROS, this::becomeReady);
         } else if (canAskPeers) {
             listExchange.seek();
-            time.after(FIRST_PEER_ANSWER_TIMEOUT_MICROS, this::becomeReady);
+            time.schedule(FIRST_PEER_ANSWER_TIMEOUT_MICROS, this::becomeReady);
         } else {
             becomeReady();
         }
@@ -305,14 +305,14 @@
                 }
             }
         };
-        time.after(DRAIN_ACCEPT_MICROS, () -> {
+        time.schedule(DRAIN_ACCEPT_MICROS, () -> {
             north.drain();
             stopListening.run();
-            time.after(DRAIN_POLL_MICROS, () -> pollUntilQuiet(endOnce));
+            time.schedule(DRAIN_POLL_MICROS, () -> pollUntilQuiet(endOnce));
         });
-        time.after(mostDrainMicros(), () -> {
+        time.schedule(mostDrainMicros(), () -> {
             north.failAll();
-            time.after(CLIENT_CLOSE_GRACE_MICROS, endOnce);
+            time.schedule(CLIENT_CLOSE_GRACE_MICROS, endOnce);
         });
     }
 
@@ -321,7 +321,7 @@
         if (north.quiet()) {
             awaitClientCloses(ended, time.now() + CLIENT_CLOSE_GRACE_MICROS);
         } else {
-            time.after(DRAIN_POLL_MICROS, () -> pollUntilQuiet(ended));
+            time.schedule(DRAIN_POLL_MICROS, () -> pollUntilQuiet(ended));
         }
     }
 
@@ -329,7 +329,7 @@
         if (north.empty() || time.now() >= untilMicros) {
             ended.run();
         } else {
-            time.after(DRAIN_POLL_MICROS, () -> awaitClientCloses(ended, untilMicros));
+            time.schedule(DRAIN_POLL_MICROS, () -> awaitClientCloses(ended, untilMicros));
         }
     }
 }
--- a/balancer/src/main/java/baymoor/dispatch/Dispatcher.java
+++ b/balancer/src/main/java/baymoor/dispatch/Dispatcher.java
@@ -250,7 +250,7 @@
         OpenRequest open = requests.get(requestId);
         if (open != null && !open.done && open.attemptsInFlight == 0) {
             accept(new Fail(requestId));
-            time.after(0, () -> deliver(new RequestGone(requestId)));
+            time.schedule(0, () -> deliver(new RequestGone(requestId)));
         }
     }
 
@@ -260,7 +260,7 @@
             send(a);
         } else if (action instanceof SetTimer a) {
             timersSetByEvent.add(a.token());
-            time.after(Math.max(0, a.delayMicros()), () -> deliver(new TimerFired(a.token())));
+            time.schedule(Math.max(0, a.delayMicros()), () -> deliver(new TimerFired(a.token())));
         } else if (action instanceof Refuse a) {
             answerRequest(a.request(), new Answer.BackOff(Math.max(0, a.retryAfterMicros())));
         } else if (action instanceof Fail a) {
@@ -304,7 +304,7 @@
                 || attempt >= limits.maxAttempts()
                 || now >= open.request.deadlineMicros()) {
             Reply notSent = new Reply(Outcome.NOT_SENT, null, 0, new double[0], false);
-            time.after(0, () -> attemptEnded(action.request(), attempt, action.server(), notSent, 0));
+            time.schedule(0, () -> attemptEnded(action.request(), attempt, action.server(), notSent, 0));
             return;
         }
         long remainingMicros = open.request.deadlineMicros() - now;
--- a/balancer/src/main/java/baymoor/inventory/Discovery.java
+++ b/balancer/src/main/java/baymoor/inventory/Discovery.java
@@ -219,7 +219,7 @@
     private void scheduleHedgedCall() {
         if (hedgeTimer == null && !watchCalls.isEmpty() && watchCalls.size() < MAX_CONCURRENT_CALLS) {
             long hedgeAtMicros = lastWatchCallMicros + CallPacing.MIN_HEDGE_DELAY_MICROS;
-            hedgeTimer = time.after(hedgeAtMicros - time.now(), this::startHedgedCallIfUnanswered);
+            hedgeTimer = time.schedule(hedgeAtMicros - time.now(), this::startHedgedCallIfUnanswered);
         }
     }
 
@@ -227,7 +227,7 @@
         long hedgeAtMicros = lastWatchCallMicros + pacing.hedgeDelayMicros();
         boolean connected = watchCalls.get(watchCalls.size() - 1).connected;
         if (connected && time.now() < hedgeAtMicros) {
-            hedgeTimer = time.after(hedgeAtMicros - time.now(), this::startWatchCall);
+            hedgeTimer = time.schedule(hedgeAtMicros - time.now(), this::startWatchCall);
         } else {
             startWatchCall();
         }
@@ -284,7 +284,7 @@
             confirmation.callFailed(call.outcome(), call.startedMicros, time.now());
         }
         if (call == listCall && watchesContinuously()) {
-            listRetryTimer = time.after(nextReconnectDelay(call.startedMicros), this::ask);
+            listRetryTimer = time.schedule(nextReconnectDelay(call.startedMicros), this::ask);
         } else if (watchCallPending()) {
             scheduleHedgedCall(); // the pending call replaces the failed one
         } else if (watchesContinuously()) {
@@ -301,7 +301,7 @@
 
     private void scheduleWatchCall(long delayMicros) {
         hedgeTimer = cancel(hedgeTimer);
-        nextCallTimer = time.after(delayMicros, this::startWatchCall);
+        nextCallTimer = time.schedule(delayMicros, this::startWatchCall);
     }
 
     /** Keeps an idle watch until a new one is established: an agent that is cut off from discovery sends nothing either. */
@@ -354,7 +354,7 @@
             this.target = target;
             this.isWatch = isWatch;
             counters.add(Count.INVENTORY_CALLS);
-            timeout = time.after(ANSWER_TIMEOUT_MICROS, this::handleTimeout);
+            timeout = time.schedule(ANSWER_TIMEOUT_MICROS, this::handleTimeout);
             link = dialer.dial(remoteAddress, this);
         }
 
@@ -441,7 +441,7 @@
 
         private void restartIdleTimer() {
             timeout.cancel();
-            timeout = time.after(WATCH_IDLE_TIMEOUT_MICROS, this::handleTimeout);
+            timeout = time.schedule(WATCH_IDLE_TIMEOUT_MICROS, this::handleTimeout);
         }
 
         private boolean applyList(String text) {
--- a/balancer/src/main/java/baymoor/inventory/ListExchange.java
+++ b/balancer/src/main/java/baymoor/inventory/ListExchange.java
@@ -120,7 +120,7 @@
                 sendQuery(peer);
             }
         }
-        nextQueryTimer = time.after(
+        nextQueryTimer = time.schedule(
                 queryIntervalMicros / 2 + (long) (random.nextDouble() * queryIntervalMicros / 2), this::queryPeers);
         queryIntervalMicros = Math.min(MAX_QUERY_INTERVAL_MICROS, 2 * queryIntervalMicros);
     }
--- a/balancer/src/main/java/baymoor/link/Time.java
+++ b/balancer/src/main/java/baymoor/link/Time.java
@@ -10,12 +10,12 @@
      * Returns the earliest time at which the current event may have arrived. It precedes {@link #now} if the event waited
      * for the decision thread, or the process was suspended.
      */
-    default long came() {
+    default long earliestArrivalMicros() {
         return now();
     }
 
     /** Schedules a task, which never runs before the current event has been handled. */
-    Timer after(long micros, Runnable task);
+    Timer schedule(long micros, Runnable task);
 
     /** A scheduled task. */
     interface Timer {
--- a/balancer/src/main/java/baymoor/net/DecisionThread.java
+++ b/balancer/src/main/java/baymoor/net/DecisionThread.java
@@ -92,12 +92,12 @@
     }
 
     @Override
-    public long came() {
+    public long earliestArrivalMicros() {
         return earliestArrivalMicros;
     }
 
     @Override
-    public Timer after(long micros, Runnable task) {
+    public Timer schedule(long micros, Runnable task) {
         ScheduledTask timer =
                 new ScheduledTask(micros <= 0 ? DUE_IMMEDIATELY : nowMicros + micros, nextSequence++, task);
         timers.add(timer);
--- a/balancer/src/main/java/baymoor/north/North.java
+++ b/balancer/src/main/java/baymoor/north/North.java
@@ -80,11 +80,11 @@
         this.maxPendingRequests = maxPendingRequests;
         this.maxValueBytes = maxValueBytes;
         this.counterReport = counterReport;
-        time.after(TIMEOUT_CHECK_INTERVAL_MICROS, this::checkTimeouts);
+        time.schedule(TIMEOUT_CHECK_INTERVAL_MICROS, this::checkTimeouts);
     }
 
     private void checkTimeouts() {
-        time.after(TIMEOUT_CHECK_INTERVAL_MICROS, this::checkTimeouts);
+        time.schedule(TIMEOUT_CHECK_INTERVAL_MICROS, this::checkTimeouts);
         boolean crowded = clients.size() > maxClients / 4;
         allClients().forEach(c -> c.checkTimeouts(crowded));
     }
@@ -216,7 +216,7 @@
         pendingValueBytes += pending.valueBytes;
         pendingByTicket.put(pending.ticket, pending);
         long delay = request.deadlineMicros() + OVERDUE_GRACE_MICROS - time.now();
-        pending.deadlineTimer = time.after(Math.max(0, delay), () -> failOverdue(pending));
+        pending.deadlineTimer = time.schedule(Math.max(0, delay), () -> failOverdue(pending));
         return pending;
     }
 
--- a/balancer/src/main/java/baymoor/north/RespClient.java
+++ b/balancer/src/main/java/baymoor/north/RespClient.java
@@ -86,7 +86,7 @@
     boolean isConnected() {
         if (!disconnected && link.isClosed()) {
             disconnected = true;
-            north.time.after(0, this::abandonPending);
+            north.time.schedule(0, this::abandonPending);
         }
         return !disconnected;
     }
@@ -219,7 +219,7 @@
         north.markBusy(this);
         north.markUsed(this);
         commandStartMicros = reader.pending() ? commandStartMicros : north.time.now();
-        receivedMicros = north.time.came();
+        receivedMicros = north.time.earliestArrivalMicros();
         reader.feed(bytes);
         processCommands();
     }
--- a/balancer/src/main/java/baymoor/south/HostConnection.java
+++ b/balancer/src/main/java/baymoor/south/HostConnection.java
@@ -43,7 +43,7 @@
 
     void dial() {
         // MINA checks connect time-outs only once a second, so the time-out is kept here.
-        connectTimer = south.time.after(south.connectTimeoutMicros, this::close);
+        connectTimer = south.time.schedule(south.connectTimeoutMicros, this::close);
         link = south.dialer.dial(host.address, this);
     }
 
@@ -70,7 +70,7 @@
             Attempt refused = attempt;
             attempt = null;
             host.addIdleConnection(this);
-            south.time.after(0, () -> south.endAttempt(refused, Reply.withoutAnswer(Outcome.NOT_SENT)));
+            south.time.schedule(0, () -> south.endAttempt(refused, Reply.withoutAnswer(Outcome.NOT_SENT)));
             return;
         }
         requestWritten = false;
@@ -123,13 +123,13 @@
             stallTimer.cancel();
         }
         if (reply == null) {
-            stallTimer = south.time.after(south.stallTimeoutMicros, this::abortStalled);
+            stallTimer = south.time.schedule(south.stallTimeoutMicros, this::abortStalled);
             return;
         }
         Attempt answered = attempt;
         attempt = null;
         if (reply.reusable() && requestWritten && reusable()) {
-            south.time.after(QUIET_MICROS, this::returnToIdle);
+            south.time.schedule(QUIET_MICROS, this::returnToIdle);
         } else {
             close();
         }
--- a/balancer/src/main/java/baymoor/south/South.java
+++ b/balancer/src/main/java/baymoor/south/South.java
@@ -97,7 +97,7 @@
         stallTimeoutMicros = connectTimeoutMicros / STALL_TIMEOUT_DIVISOR;
         long idleCloseMicros = limits.idleCloseMicros() > 0 ? limits.idleCloseMicros() : Long.MAX_VALUE;
         idleTimeoutMicros = Math.max(idleCloseMicros / 2, idleCloseMicros - IDLE_CLOSE_MARGIN_MICROS);
-        time.after(SWEEP_INTERVAL_MICROS, this::sweep);
+        time.schedule(SWEEP_INTERVAL_MICROS, this::sweep);
     }
 
     /**
@@ -127,10 +127,10 @@
 
     private void start(Attempt attempt) {
         if (attempt.host.address == null) { // the host is not in the inventory
-            time.after(0, () -> endAttempt(attempt, Reply.withoutAnswer(Outcome.NOT_SENT)));
+            time.schedule(0, () -> endAttempt(attempt, Reply.withoutAnswer(Outcome.NOT_SENT)));
             return;
         }
-        attempt.timer = time.after(attempt.deadlineMicros - time.now(), () -> abort(attempt, Outcome.TIMED_OUT));
+        attempt.timer = time.schedule(attempt.deadlineMicros - time.now(), () -> abort(attempt, Outcome.TIMED_OUT));
         attempt.host.queued.addLast(attempt);
         hostsWithQueuedAttempts.add(attempt.host);
         assignConnections(attempt.host);
@@ -140,7 +140,7 @@
     public void cancel(String requestId, int attemptNumber) {
         Attempt attempt = attempts.get(attemptKey(requestId, attemptNumber));
         if (attempt != null) {
-            time.after(0, () -> abort(attempt, Outcome.CANCELLED));
+            time.schedule(0, () -> abort(attempt, Outcome.CANCELLED));
         }
     }
 
@@ -148,7 +148,7 @@
     public void withdraw(String requestId, int attemptNumber) {
         Attempt attempt = attempts.get(attemptKey(requestId, attemptNumber));
         if (attempt != null && attempt.host.queued.remove(attempt)) {
-            time.after(0, () -> endAttempt(attempt, Reply.withoutAnswer(Outcome.NOT_SENT)));
+            time.schedule(0, () -> endAttempt(attempt, Reply.withoutAnswer(Outcome.NOT_SENT)));
         }
     }
 
@@ -249,7 +249,7 @@
     void scheduleAssignment() {
         if (!assignmentScheduled && !hostsWithQueuedAttempts.isEmpty()) {
             assignmentScheduled = true;
-            time.after(0, () -> {
+            time.schedule(0, () -> {
                 assignmentScheduled = false;
                 for (Host host : List.copyOf(hostsWithQueuedAttempts)) {
                     if (connectionCount >= maxConnections && hostsWithIdleConnections.isEmpty()) {
@@ -296,7 +296,7 @@
     }
 
     private void sweep() {
-        time.after(SWEEP_INTERVAL_MICROS, this::sweep);
+        time.schedule(SWEEP_INTERVAL_MICROS, this::sweep);
         inventoryChanged();
         hosts.values().removeIf(host -> !acceptsRequests(host) && host.connectionCount == 0 && host.queued.isEmpty());
         hostsWithQueuedAttempts.removeIf(host -> host.queued.isEmpty()); // their attempts have timed out
--- a/balancer/src/test/java/baymoor/ManualTime.java
+++ b/balancer/src/test/java/baymoor/ManualTime.java
@@ -22,12 +22,12 @@
     }
 
     @Override
-    public long came() {
+    public long earliestArrivalMicros() {
         return nowMicros - waited;
     }
 
     @Override
-    public Timer after(long micros, Runnable task) {
+    public Timer schedule(long micros, Runnable task) {
         ScheduledTask timer = new ScheduledTask(nowMicros + Math.max(0, micros), nextSequence++, task);
         timers.add(timer);
         return () -> timers.remove(timer);
--- a/balancer/src/test/java/baymoor/inventory/ListExchangeTest.java
+++ b/balancer/src/test/java/baymoor/inventory/ListExchangeTest.java
@@ -74,7 +74,7 @@
         for (int copies = random.nextDouble() < duplicationRate ? 2 : 1; copies > 0; copies--) {
             if (random.nextDouble() >= lossRate) {
                 byte[] delivered = corruption.apply(content);
-                time.after(
+                time.schedule(
                         (long) (random.nextDouble() * maxDelayMicros),
                         () -> nodes.get(to).deliver(from, delivered));
             }
--- a/balancer/src/test/java/baymoor/net/DecisionThreadTest.java
+++ b/balancer/src/test/java/baymoor/net/DecisionThreadTest.java
@@ -21,10 +21,10 @@
         List<String> executed = new CopyOnWriteArrayList<>();
         CountDownLatch finished = new CountDownLatch(1);
         thread.post(() -> {
-            thread.after(2_000, () -> executed.add("later"));
-            thread.after(1_000, () -> executed.add("cancelled")).cancel();
-            thread.after(0, () -> executed.add("after the event"));
-            thread.after(3_000, finished::countDown);
+            thread.schedule(2_000, () -> executed.add("later"));
+            thread.schedule(1_000, () -> executed.add("cancelled")).cancel();
+            thread.schedule(0, () -> executed.add("after the event"));
+            thread.schedule(3_000, finished::countDown);
             executed.add("event");
         });
         thread.post(() -> {
@@ -51,9 +51,9 @@
             thread.post(() -> executed.add("answer"));
             // The time since the task began, which may be long on a busy machine.
             long pauseMicros = thread.read() - thread.now();
-            thread.after(pauseMicros + 20_000, () -> executed.add("timer"));
-            thread.after(pauseMicros + 20_000, finished::countDown);
-            thread.after(0, () -> executed.add("follow-up"));
+            thread.schedule(pauseMicros + 20_000, () -> executed.add("timer"));
+            thread.schedule(pauseMicros + 20_000, finished::countDown);
+            thread.schedule(0, () -> executed.add("follow-up"));
             while (thread.read() < thread.now() + pauseMicros + 30_000) {
                 Thread.onSpinWait();
             }
@@ -72,7 +72,7 @@
         DecisionThread thread = new DecisionThread(new Counters(), line -> {});
         CountDownLatch timerScheduled = new CountDownLatch(1);
         thread.post(() -> {
-            thread.after(60_000_000, () -> {});
+            thread.schedule(60_000_000, () -> {});
             timerScheduled.countDown();
         });
         Thread runner = new Thread(thread);
--- a/emulator/src/main/java/baymoor/emulator/engine/VirtualProcess.java
+++ b/emulator/src/main/java/baymoor/emulator/engine/VirtualProcess.java
@@ -93,7 +93,7 @@
     }
 
     @Override
-    public long came() {
+    public long earliestArrivalMicros() {
         return came;
     }
 
@@ -169,7 +169,7 @@
     }
 
     @Override
-    public Timer after(long micros, Runnable task) {
+    public Timer schedule(long micros, Runnable task) {
         if (micros <= 0 && running) {
             ImmediateTask next = new ImmediateTask(task);
             immediateTasks.add(next);
--- a/emulator/src/main/java/baymoor/emulator/fabric/Fabric.java
+++ b/emulator/src/main/java/baymoor/emulator/fabric/Fabric.java
@@ -125,7 +125,7 @@
             copies.add(Draw.within(random, net.datagram()));
         }
         for (long delayMicros : copies) {
-            time.after(delayMicros, () -> {
+            time.schedule(delayMicros, () -> {
                 if (isCut(from, to)) {
                     datagramsCut++;
                 } else {
--- a/emulator/src/main/java/baymoor/emulator/fabric/FabricConnection.java
+++ b/emulator/src/main/java/baymoor/emulator/fabric/FabricConnection.java
@@ -114,7 +114,7 @@
     /** Closes the connection for the host; the other side is reset once the cut has ended. */
     private void closeDuringCut() {
         outboundLost = true;
-        fabric.time.after(0, this::notifyHostClosed);
+        fabric.time.schedule(0, this::notifyHostClosed);
     }
 
     @Override
--- a/emulator/src/main/java/baymoor/emulator/sockets/ProcessFleet.java
+++ b/emulator/src/main/java/baymoor/emulator/sockets/ProcessFleet.java
@@ -177,7 +177,7 @@
         b.exitExpected = true;
         Process process = b.process;
         process.destroyForcibly();
-        process.onExit().thenRun(() -> thread.post(() -> thread.after(forMicros, () -> start(b))));
+        process.onExit().thenRun(() -> thread.post(() -> thread.schedule(forMicros, () -> start(b))));
     }
 
     @Override
@@ -185,7 +185,7 @@
         Process process = balancers.get(balancer).process;
         judge.stalled(balancer, thread.now() + forMicros);
         sendSignal(process, "-STOP");
-        thread.after(forMicros, () -> sendSignal(process, "-CONT"));
+        thread.schedule(forMicros, () -> sendSignal(process, "-CONT"));
     }
 
     private void sendSignal(Process process, String signal) {
--- a/emulator/src/main/java/baymoor/emulator/sockets/ReadinessProbe.java
+++ b/emulator/src/main/java/baymoor/emulator/sockets/ReadinessProbe.java
@@ -60,7 +60,7 @@
         if (pongReceived) {
             onAnswered.run();
         } else {
-            time.after(RETRY_DELAY_MICROS, () -> pingUntilAnswered(dialer, time, address, stillNeeded, onAnswered));
+            time.schedule(RETRY_DELAY_MICROS, () -> pingUntilAnswered(dialer, time, address, stillNeeded, onAnswered));
         }
     }
 }
--- a/emulator/src/main/java/baymoor/emulator/sockets/SocketRun.java
+++ b/emulator/src/main/java/baymoor/emulator/sockets/SocketRun.java
@@ -162,7 +162,7 @@
             finished.countDown();
         } else {
             reportProgress("starting", 0);
-            thread.after(POLL_INTERVAL_MICROS, () -> awaitReady(until));
+            thread.schedule(POLL_INTERVAL_MICROS, () -> awaitReady(until));
         }
     }
 
@@ -172,7 +172,7 @@
         if (world.over() || failure != null || counters.get(Count.TASK_FAILURES) > 0) {
             finished.countDown();
         } else {
-            thread.after(POLL_INTERVAL_MICROS, this::poll);
+            thread.schedule(POLL_INTERVAL_MICROS, this::poll);
         }
     }
 }
--- a/emulator/src/main/java/baymoor/emulator/sockets/StandIns.java
+++ b/emulator/src/main/java/baymoor/emulator/sockets/StandIns.java
@@ -119,7 +119,7 @@
         if (world.over()) {
             finished.countDown();
         } else {
-            thread.after(POLL_INTERVAL_MICROS, this::poll);
+            thread.schedule(POLL_INTERVAL_MICROS, this::poll);
         }
     }
 
--- a/emulator/src/main/java/baymoor/emulator/world/Agent.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Agent.java
@@ -73,7 +73,7 @@
     void scheduleUpdate() {
         if (!updateScheduled) {
             updateScheduled = true;
-            time.after(source.pushDelayMicros(), () -> {
+            time.schedule(source.pushDelayMicros(), () -> {
                 updateScheduled = false;
                 if (source.reachable()) {
                     boolean newVersion = source.index() > index;
--- a/emulator/src/main/java/baymoor/emulator/world/Clients.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Clients.java
@@ -123,7 +123,8 @@
     public void ready(int balancer) {
         stopping[balancer] = false;
         int generation = ++generations[balancer];
-        zones[0].time.after(READY_DETECTION_MICROS, () -> knownReady[balancer] = generation == generations[balancer]);
+        zones[0].time.schedule(
+                READY_DETECTION_MICROS, () -> knownReady[balancer] = generation == generations[balancer]);
     }
 
     @Override
@@ -134,7 +135,7 @@
     @Override
     public void ended(int balancer) {
         int generation = ++generations[balancer];
-        zones[0].time.after(Draw.within(zones[0].random, scenario.traffic().frontNotice()), () -> {
+        zones[0].time.schedule(Draw.within(zones[0].random, scenario.traffic().frontNotice()), () -> {
             if (generation == generations[balancer]) {
                 knownReady[balancer] = false;
             }
@@ -196,7 +197,7 @@
             }
             // Counts from the previous arrival, not from the timer's run: a delayed thread must not lower the load.
             nextArrivalAt += Math.max(1, (long) Math.ceil(Draw.exponential(random) / rate * 1e6));
-            time.after(nextArrivalAt - time.now(), () -> {
+            time.schedule(nextArrivalAt - time.now(), () -> {
                 if (nextArrivalAt < arrivalsEnd) {
                     new Request(this).startAttempt();
                     scheduleNextArrival();
@@ -286,7 +287,7 @@
                 retried = true;
                 long delay = Draw.within(zone.random, traffic.backoff());
                 delay = Draw.chance(zone.random, traffic.honour()) ? Math.max(delay, retryAfterMicros) : delay;
-                zone.time.after(delay, this::startAttempt);
+                zone.time.schedule(delay, this::startAttempt);
             } else {
                 finish(outcome);
             }
@@ -317,12 +318,12 @@
             Scenario.Traffic traffic = scenario.traffic();
             double share = traffic.leastTry() + zone.random.nextDouble() * (traffic.mostTry() - traffic.leastTry());
             deadline = startedAt + (long) (request.requestClass.giveUpMicros() * share);
-            timeoutTimer = zone.time.after(deadline + timeoutSlackMicros - startedAt, this::timeOut);
+            timeoutTimer = zone.time.schedule(deadline + timeoutSlackMicros - startedAt, this::timeOut);
             boolean impatient = Draw.chance(zone.random, traffic.impatient());
             double abandonFraction =
                     MIN_ABANDON_FRACTION + zone.random.nextDouble() * (MAX_ABANDON_FRACTION - MIN_ABANDON_FRACTION);
             abandonTimer = impatient
-                    ? zone.time.after((long) ((deadline - startedAt) * abandonFraction), this::abandon)
+                    ? zone.time.schedule((long) ((deadline - startedAt) * abandonFraction), this::abandon)
                     : null;
         }
 
--- a/emulator/src/main/java/baymoor/emulator/world/DiscoveryService.java
+++ b/emulator/src/main/java/baymoor/emulator/world/DiscoveryService.java
@@ -135,7 +135,7 @@
                     case ADDED -> spec.add();
                 });
         long changeNumber = ++changeCount;
-        time.after(noticeMicros, () -> {
+        time.schedule(noticeMicros, () -> {
             // A later change of the same name may have been noticed first.
             if (newestChange.getOrDefault(entry.name(), 0L) < changeNumber) {
                 newestChange.put(entry.name(), changeNumber);
@@ -164,7 +164,7 @@
         push();
         if (!spec.pushed()) {
             long listedVersion = index;
-            time.after(DELIVERY_DEADLINE_MICROS, () -> assumeDelivered(entry, listedVersion));
+            time.schedule(DELIVERY_DEADLINE_MICROS, () -> assumeDelivered(entry, listedVersion));
         }
     }
 
@@ -174,7 +174,7 @@
             return; // superseded by a later change, which has its own deadline
         }
         if (!up || time.now() - upSince < DELIVERY_DEADLINE_MICROS) {
-            time.after(
+            time.schedule(
                     up ? upSince + DELIVERY_DEADLINE_MICROS - time.now() : DELIVERY_DEADLINE_MICROS,
                     () -> assumeDelivered(entry, listedVersion));
             return;
@@ -317,7 +317,7 @@
             }
         } else {
             // Data written during a partition does not arrive: the entries count as delivered after the deadline only.
-            time.after(
+            time.schedule(
                     Math.max(0, isolatedSince + DELIVERY_DEADLINE_MICROS - time.now()),
                     () -> recordDelivered(
                             balancer,
@@ -373,7 +373,7 @@
         /** Queues a call behind earlier ones, or rejects it if it would exceed the time-out. */
         private void call(String target) {
             if (!up) {
-                time.after(spec.atOnce() ? 0 : spec.timeoutMicros(), this::rejectCall);
+                time.schedule(spec.atOnce() ? 0 : spec.timeoutMicros(), this::rejectCall);
                 return;
             }
             boolean isWatch = target.contains("watch=1");
@@ -386,11 +386,11 @@
             long startAt = Math.max(time.now(), busyUntil);
             if (startAt + costMicros - time.now() > spec.timeoutMicros()) {
                 busyUntil = startAt + (long) (spec.failedMicros() * slowdown);
-                time.after(spec.atOnce() ? 0 : spec.timeoutMicros(), this::rejectCall);
+                time.schedule(spec.atOnce() ? 0 : spec.timeoutMicros(), this::rejectCall);
                 return;
             }
             busyUntil = startAt + costMicros;
-            time.after(busyUntil - time.now(), () -> {
+            time.schedule(busyUntil - time.now(), () -> {
                 if (!closed && up) {
                     callListener.callEnded(balancer, isWatch ? WATCHED : ANSWERED);
                     if (isWatch) {
@@ -438,7 +438,7 @@
         void scheduleUpdate() {
             if (!updateScheduled) {
                 updateScheduled = true;
-                time.after(Draw.within(random, spec.spread()), () -> {
+                time.schedule(Draw.within(random, spec.spread()), () -> {
                     updateScheduled = false;
                     if (!connection.closed && up) {
                         stream.write(encode(index, false, changesSince(writtenIndex), connection.balancer));
--- a/emulator/src/main/java/baymoor/emulator/world/Fills.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Fills.java
@@ -89,12 +89,12 @@
         if (miss != null) {
             miss.routers.stream()
                     .limit(MAX_FILLED_ROUTERS)
-                    .forEach(r -> time.after(delayMicros, () -> r.store(key, size)));
+                    .forEach(r -> time.schedule(delayMicros, () -> r.store(key, size)));
         }
     }
 
     /** Invalidates all copies of a key that has changed at the origin. */
     void changed(String key) {
-        time.after(delayMicros, () -> invalidateAll.accept(key));
+        time.schedule(delayMicros, () -> invalidateAll.accept(key));
     }
 }
--- a/emulator/src/main/java/baymoor/emulator/world/ListStream.java
+++ b/emulator/src/main/java/baymoor/emulator/world/ListStream.java
@@ -58,7 +58,7 @@
 
     /** Schedules heartbeats until the watch ends. */
     void scheduleHeartbeat() {
-        time.after(HEARTBEAT_MICROS, () -> {
+        time.schedule(HEARTBEAT_MICROS, () -> {
             if (isOpen.getAsBoolean()) {
                 if (heartbeatsEnabled.getAsBoolean() && time.now() - lastWriteAt >= HEARTBEAT_MICROS) {
                     write(new byte[] {'\n'});
--- a/emulator/src/main/java/baymoor/emulator/world/ProcessorSharingServer.java
+++ b/emulator/src/main/java/baymoor/emulator/world/ProcessorSharingServer.java
@@ -155,7 +155,7 @@
         double ratePerJob = ratePerJob();
         if (next != null && ratePerJob > 0) {
             long delayMicros = (long) Math.ceil(Math.max(0, next.targetWork - attainedWork) / ratePerJob);
-            timer = time.after(Math.max(1, delayMicros), this::completeDueJobs);
+            timer = time.schedule(Math.max(1, delayMicros), this::completeDueJobs);
         }
     }
 
--- a/emulator/src/main/java/baymoor/emulator/world/Router.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Router.java
@@ -268,7 +268,7 @@
         int ownIncarnation = incarnation;
         paused = true;
         updateSpeed();
-        time.after(micros, () -> {
+        time.schedule(micros, () -> {
             if (ownIncarnation == incarnation) {
                 paused = false;
                 updateSpeed();
@@ -280,7 +280,7 @@
         if (kind.pause().most() == 0) {
             return;
         }
-        time.after(Draw.within(random, kind.pauseEvery()), () -> {
+        time.schedule(Draw.within(random, kind.pauseEvery()), () -> {
             if (ownIncarnation == incarnation) {
                 pause(Draw.within(random, kind.pause()));
                 schedulePause(ownIncarnation);
@@ -310,7 +310,7 @@
         if (ownIncarnation == incarnation) {
             updateSpeed();
             if (warmUpFactor() < 1) {
-                time.after(SPEED_UPDATE_MICROS, () -> updateSpeedWhileWarming(ownIncarnation));
+                time.schedule(SPEED_UPDATE_MICROS, () -> updateSpeedWhileWarming(ownIncarnation));
             }
         }
     }
@@ -342,7 +342,7 @@
     }
 
     private void scheduleIdleCheck(int ownIncarnation) {
-        time.after(IDLE_CHECK_MICROS, () -> {
+        time.schedule(IDLE_CHECK_MICROS, () -> {
             if (ownIncarnation == incarnation) {
                 for (Connection c : List.copyOf(connections)) {
                     if (c.pendingAnswers.isEmpty() && time.now() - c.lastUsedAt > kind.idleMicros()) {
--- a/emulator/src/main/java/baymoor/emulator/world/RouterLoad.java
+++ b/emulator/src/main/java/baymoor/emulator/world/RouterLoad.java
@@ -101,7 +101,7 @@
     private void scheduleNext() {
         // Based on the previous arrival time, not on the current time, so that late timers don't reduce the load.
         nextArrivalAt += Math.max(1, (long) Math.ceil(Draw.exponential(random) / rate));
-        time.after(nextArrivalAt - time.now(), () -> {
+        time.schedule(nextArrivalAt - time.now(), () -> {
             if (nextArrivalAt < loadEndsAt) {
                 openRequests++;
                 LoadClient client = idleClients.isEmpty() ? new LoadClient() : idleClients.pollLast();
--- a/emulator/src/main/java/baymoor/emulator/world/Routers.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Routers.java
@@ -225,18 +225,18 @@
             case RESTART_ROUTER, VANISH_ROUTER -> {
                 reportTerminated(slot, event.what() == Scenario.EventKind.VANISH_ROUTER);
                 r.stop();
-                time.after(event.forMicros(), () -> startCold(slot));
+                time.schedule(event.forMicros(), () -> startCold(slot));
             }
             case REPLACE_ROUTER -> {
                 reportTerminated(slot, false);
                 r.stop();
                 slot.router = createRouter("s-" + slot.place + "r" + ++replacements, r.zone(), r.kind());
-                time.after(event.forMicros(), () -> startCold(slot));
+                time.schedule(event.forMicros(), () -> startCold(slot));
             }
             case DRAIN_ROUTER -> {
                 r.drain();
                 onEntryChange.accept(slot.entry.withStatus(Status.TERMINATING), Sign.ENDED);
-                time.after(event.forMicros(), () -> {
+                time.schedule(event.forMicros(), () -> {
                     if (slot.router == r && r.state() == Router.State.DRAINING) {
                         r.undrain();
                         onEntryChange.accept(slot.entry, Sign.ADDED);
@@ -246,15 +246,15 @@
             case PAUSE_ROUTER -> r.pause(event.forMicros());
             case SLOW_ROUTER -> {
                 r.setSlowdown(event.factor());
-                time.after(event.forMicros(), () -> r.setSlowdown(1));
+                time.schedule(event.forMicros(), () -> r.setSlowdown(1));
             }
             case HANG_ROUTER -> {
                 r.hang(true);
-                time.after(event.forMicros(), () -> r.hang(false));
+                time.schedule(event.forMicros(), () -> r.hang(false));
             }
             case BAD_ROUTER -> {
                 r.injectAnswerFault(event.spoil(), event.share());
-                time.after(event.forMicros(), () -> r.injectAnswerFault(null, 0));
+                time.schedule(event.forMicros(), () -> r.injectAnswerFault(null, 0));
             }
             default -> throw new IllegalStateException("not a router event: " + event.what());
         }
--- a/emulator/src/main/java/baymoor/emulator/world/World.java
+++ b/emulator/src/main/java/baymoor/emulator/world/World.java
@@ -201,7 +201,7 @@
             scheduleKeyChange();
         }
         for (ScriptedEvent event : scenario.script()) {
-            time.after(scenario.warmUpMicros() + event.atMicros() - (time.now() - startedAt), () -> execute(event));
+            time.schedule(scenario.warmUpMicros() + event.atMicros() - (time.now() - startedAt), () -> execute(event));
         }
     }
 
@@ -224,7 +224,7 @@
     }
 
     private void scheduleKeyChange() {
-        time.after((long) (Draw.exponential(random) / scenario.keys().changes() * 1e6) + 1, () -> {
+        time.schedule((long) (Draw.exponential(random) / scenario.keys().changes() * 1e6) + 1, () -> {
             fills.changed(
                     Catalogue.name(catalogue.key(random.nextInt(scenario.keys().count()), time.now() - startedAt)));
             scheduleKeyChange();
@@ -239,7 +239,7 @@
     private void stopOrigin(long micros) {
         origin.stop();
         platform.stopListening(originPlace(), false);
-        time.after(micros, () -> {
+        time.schedule(micros, () -> {
             origin.start();
             platform.listen(originPlace(), Origin.NAME, 0, origin::accept);
         });
@@ -250,17 +250,17 @@
         switch (event.what()) {
             case SURGE -> {
                 clients.multiplyLoad(event.factor());
-                time.after(event.forMicros(), () -> clients.multiplyLoad(1 / event.factor()));
+                time.schedule(event.forMicros(), () -> clients.multiplyLoad(1 / event.factor()));
             }
             case SCAN -> {
                 clients.setOneOffReadShare(event.share());
-                time.after(event.forMicros(), () -> clients.setOneOffReadShare(0));
+                time.schedule(event.forMicros(), () -> clients.setOneOffReadShare(0));
             }
             case CUT -> {
                 int zone = scenario.zones().indexOf(event.zone());
                 platform.cut(zone, true);
                 cutSince[zone] = time.now();
-                time.after(event.forMicros(), () -> {
+                time.schedule(event.forMicros(), () -> {
                     platform.cut(zone, false);
                     cutSince[zone] = -1;
                     discovery.push();
@@ -268,21 +268,21 @@
             }
             case SLOW_ORIGIN -> {
                 origin.slow(event.factor());
-                time.after(event.forMicros(), () -> origin.slow(1));
+                time.schedule(event.forMicros(), () -> origin.slow(1));
             }
             case STOP_ORIGIN -> stopOrigin(event.forMicros());
             case FLUSH -> routers.flush(event.share());
             case HOT_KEY -> {
                 clients.setHotKey(event.share(), random.nextLong());
-                time.after(event.forMicros(), () -> clients.setHotKey(0, 0));
+                time.schedule(event.forMicros(), () -> clients.setHotKey(0, 0));
             }
             case LOSE_DATAGRAMS -> {
                 platform.loseDatagrams(event.share());
-                time.after(event.forMicros(), () -> platform.loseDatagrams(0));
+                time.schedule(event.forMicros(), () -> platform.loseDatagrams(0));
             }
             case DISCOVERY_SLOW -> {
                 discovery.slow(event.factor());
-                time.after(event.forMicros(), () -> discovery.slow(1));
+                time.schedule(event.forMicros(), () -> discovery.slow(1));
             }
             case DISCOVERY_DOWN -> {
                 discovery.down();
@@ -292,7 +292,7 @@
                 if (!keepsListening) {
                     platform.stopListening(discoveryPlace(0), false);
                 }
-                time.after(event.forMicros(), () -> {
+                time.schedule(event.forMicros(), () -> {
                     discovery.up();
                     if (!keepsListening) {
                         platform.listen(discoveryPlace(0), "discovery", 0, discovery::accept);
@@ -332,14 +332,14 @@
         int maxDown = Math.max(1, (int) (event.atOnce() * balancers.size()));
         for (int i = 0; i < restarts; i++) {
             int b = balancers.get(i);
-            time.after(event.withinMicros() * i / restarts, () -> restartWhenAllowed(event, b, maxDown));
+            time.schedule(event.withinMicros() * i / restarts, () -> restartWhenAllowed(event, b, maxDown));
         }
     }
 
     private void restartWhenAllowed(ScriptedEvent event, int balancer, int maxDown) {
         long down = shuffledBalancers().stream().filter(b -> !fleet.up(b)).count();
         if (down >= maxDown) {
-            time.after(RESTART_RETRY_MICROS, () -> restartWhenAllowed(event, balancer, maxDown));
+            time.schedule(RESTART_RETRY_MICROS, () -> restartWhenAllowed(event, balancer, maxDown));
         } else {
             fleet.restart(balancer, event.planned());
         }
--- a/emulator/src/test/java/baymoor/emulator/ManualTime.java
+++ b/emulator/src/test/java/baymoor/emulator/ManualTime.java
@@ -14,7 +14,7 @@
     }
 
     @Override
-    public Timer after(long micros, Runnable task) {
+    public Timer schedule(long micros, Runnable task) {
         return engine.after(micros, task)::cancel;
     }
 
--- a/emulator/src/test/java/baymoor/emulator/engine/VirtualProcessTest.java
+++ b/emulator/src/test/java/baymoor/emulator/engine/VirtualProcessTest.java
@@ -38,7 +38,7 @@
                 1,
                 () -> process.post(() -> {
                     process.post(() -> observe("posted"));
-                    process.after(0, () -> observe("at once"));
+                    process.schedule(0, () -> observe("at once"));
                     observe("task");
                 }));
         engine.after(1, () -> observe("later"));
@@ -60,8 +60,14 @@
     public void eventQueuedDuringAStallKeepsItsArrivalTime() {
         VirtualProcess process = process(0);
         process.stall(1_000);
-        engine.after(300, () -> process.post(() -> observe("came " + (process.now() - process.came()) + " before")));
-        engine.after(2_000, () -> process.post(() -> observe("came " + (process.now() - process.came()) + " before")));
+        engine.after(
+                300,
+                () -> process.post(
+                        () -> observe("came " + (process.now() - process.earliestArrivalMicros()) + " before")));
+        engine.after(
+                2_000,
+                () -> process.post(
+                        () -> observe("came " + (process.now() - process.earliestArrivalMicros()) + " before")));
         engine.runUntil(engine.now() + 3_000);
         assertEquals(List.of("came 700 before@1000", "came 0 before@2000"), observed);
     }
@@ -69,7 +75,7 @@
     @Test
     public void restartDropsTimersAndEventsOfTheOldProcess() {
         VirtualProcess process = process(10);
-        process.after(50, () -> observe("old timer"));
+        process.schedule(50, () -> observe("old timer"));
         engine.after(5, () -> process.post(() -> observe("kept")));
         engine.after(6, () -> process.post(() -> observe("waits in vain")));
         engine.after(7, () -> {
@@ -87,7 +93,7 @@
         VirtualProcess process = process(0);
         process.stall(20);
         engine.after(1, () -> process.post(() -> observe("event")));
-        process.after(2, () -> observe("timer"));
+        process.schedule(2, () -> observe("timer"));
         engine.runUntil(engine.now() + 100);
         assertEquals(List.of("event@20", "timer@20"), observed);
     }
@@ -96,7 +102,7 @@
     public void failingTaskDoesNotStopLaterTasks() {
         VirtualProcess process = process(0);
         process.post(() -> {
-            process.after(0, () -> observe("after"));
+            process.schedule(0, () -> observe("after"));
             throw new IllegalStateException("broken");
         });
         assertEquals(List.of("broken", "after@0"), observed);
@@ -105,7 +111,7 @@
     @Test
     public void cancelledTimerDoesNotRun() {
         VirtualProcess process = process(0);
-        Time.Timer timer = process.after(3, () -> observe("timer"));
+        Time.Timer timer = process.schedule(3, () -> observe("timer"));
         timer.cancel();
         engine.runUntil(engine.now() + 10);
         assertEquals(List.of(), observed);
--- a/emulator/src/test/java/baymoor/emulator/virtual/ShuffledTest.java
+++ b/emulator/src/test/java/baymoor/emulator/virtual/ShuffledTest.java
@@ -127,7 +127,7 @@
                 }
                 Link[] link = new Link[1];
                 boolean[] closed = new boolean[1];
-                time.after(150_000 + random.nextInt(80) * 1_000, () -> {
+                time.schedule(150_000 + random.nextInt(80) * 1_000, () -> {
                     if (!closed[0]) {
                         link[0] = real.dial(to, events);
                     }
@@ -143,7 +143,7 @@
                         if (link[0] != null) {
                             link[0].close();
                         } else if (!closed[0]) {
-                            time.after(0, events::closed);
+                            time.schedule(0, events::closed);
                         }
                         closed[0] = true;
                     }
--- a/scale/src/main/java/baymoor/scale/hollow/HollowBalancer.java
+++ b/scale/src/main/java/baymoor/scale/hollow/HollowBalancer.java
@@ -99,9 +99,9 @@
         }
 
         @Override
-        public Timer after(long micros, Runnable task) {
+        public Timer schedule(long micros, Runnable task) {
             boolean tick = micros > 0 && loop.work() == Work.CONTROL && setByDispatcher(task);
-            return loop.after(micros, () -> {
+            return loop.schedule(micros, () -> {
                 if (!alive) {
                     return;
                 }
--- a/scale/src/main/java/baymoor/scale/loop/DecisionLoop.java
+++ b/scale/src/main/java/baymoor/scale/loop/DecisionLoop.java
@@ -128,7 +128,7 @@
     }
 
     @Override
-    public Timer after(long micros, Runnable task) {
+    public Timer schedule(long micros, Runnable task) {
         return after(micros, work, task);
     }
 
--- a/scale/src/main/java/baymoor/scale/loop/StreamLink.java
+++ b/scale/src/main/java/baymoor/scale/loop/StreamLink.java
@@ -95,12 +95,12 @@
                 return;
             }
             unsent.removeFirst();
-            loop.after(0, events::written);
+            loop.schedule(0, events::written);
         }
         key.interestOps(SelectionKey.OP_READ);
         if (finishing) {
             channel.shutdownOutput();
-            loop.after(0, events::outputShutDown);
+            loop.schedule(0, events::outputShutDown);
             finishing = false;
         }
     }
@@ -131,7 +131,7 @@
                 // It is closed as far as this side can tell.
             }
         }
-        loop.after(0, events::closed);
+        loop.schedule(0, events::closed);
     }
 
     @Override
--- a/scale/src/main/java/baymoor/scale/real/RealFleet.java
+++ b/scale/src/main/java/baymoor/scale/real/RealFleet.java
@@ -145,7 +145,7 @@
                 balancer.up = true;
                 watcher.ready(balancer.number);
             } else {
-                time.after(AGAIN_MICROS, () -> awaitAnswer(balancer, process));
+                time.schedule(AGAIN_MICROS, () -> awaitAnswer(balancer, process));
             }
         });
     }
@@ -188,7 +188,7 @@
         balancer.expected = true;
         Process process = balancer.process;
         process.destroyForcibly();
-        process.onExit().thenRun(() -> thread.post(() -> time.after(forMicros, () -> start(balancer))));
+        process.onExit().thenRun(() -> thread.post(() -> time.schedule(forMicros, () -> start(balancer))));
     }
 
     @Override
--- a/scale/src/main/java/baymoor/scale/run/ScaleRun.java
+++ b/scale/src/main/java/baymoor/scale/run/ScaleRun.java
@@ -209,7 +209,7 @@
     /** Discovery's version is looked at often enough to say when it changed. */
     private void watchVersion() {
         changes.shown(world.index(0), clock.micros());
-        time.after(LOOK_MICROS, this::watchVersion);
+        time.schedule(LOOK_MICROS, this::watchVersion);
     }
 
     private <T> T onThread(Callable<T> task) throws IOException, InterruptedException {
--- a/scale/src/main/java/baymoor/scale/run/Script.java
+++ b/scale/src/main/java/baymoor/scale/run/Script.java
@@ -72,7 +72,7 @@
     /** Sets all acts going; times count from the end of the warm-up. */
     void begin() {
         for (Act act : plan.script()) {
-            time.after(plan.warmUpMicros() + act.atMicros(), () -> attempt(() -> play(act)));
+            time.schedule(plan.warmUpMicros() + act.atMicros(), () -> attempt(() -> play(act)));
         }
     }
 
@@ -98,7 +98,7 @@
             case RESTART_BALANCERS -> restart(act);
             case LOSE_DATAGRAMS -> {
                 lose(act.share());
-                time.after(
+                time.schedule(
                         act.forMicros(),
                         () -> attempt(() -> {
                             lose(0);
@@ -133,7 +133,7 @@
 
     private void cutFor(List<Integer> zones, Act act) throws IOException {
         cut(zones, true);
-        time.after(
+        time.schedule(
                 act.forMicros(),
                 () -> attempt(() -> {
                     cut(zones, false);
@@ -171,7 +171,7 @@
     private void killFor(List<Integer> numbers, long micros, Runnable revived) throws IOException {
         hollow.order(Command.on(Command.Order.KILL, numbers));
         numbers.stream().filter(this::isReal).forEach(number -> real.kill(number, micros, false));
-        time.after(
+        time.schedule(
                 micros,
                 () -> attempt(() -> {
                     revive(numbers);
@@ -198,9 +198,9 @@
                 some((int) Math.round(act.share() * plan.balancers().count()));
         for (int i = 0; i < numbers.size(); i++) {
             int number = numbers.get(i);
-            time.after(act.withinMicros() * i / numbers.size(), () -> attempt(() -> restart(number)));
+            time.schedule(act.withinMicros() * i / numbers.size(), () -> attempt(() -> restart(number)));
         }
-        time.after(act.withinMicros() + RESTART_MICROS, () -> ended(act));
+        time.schedule(act.withinMicros() + RESTART_MICROS, () -> ended(act));
     }
 
     private void restart(int number) throws IOException {
--- a/scale/src/main/java/baymoor/scale/run/SlowedTime.java
+++ b/scale/src/main/java/baymoor/scale/run/SlowedTime.java
@@ -20,7 +20,7 @@
     }
 
     @Override
-    public Timer after(long micros, Runnable task) {
-        return thread.after(micros * slowdown, task);
+    public Timer schedule(long micros, Runnable task) {
+        return thread.schedule(micros * slowdown, task);
     }
 }
--- a/scale/src/test/java/baymoor/scale/loop/DecisionLoopTest.java
+++ b/scale/src/test/java/baymoor/scale/loop/DecisionLoopTest.java
@@ -45,11 +45,11 @@
         List<Integer> order = new ArrayList<>();
         CountDownLatch done = new CountDownLatch(1);
         loop.post(() -> {
-            loop.after(2_000, () -> order.add(3));
-            loop.after(1_000, () -> order.add(2));
-            loop.after(0, () -> order.add(1));
-            loop.after(1_500, () -> order.add(9)).cancel();
-            loop.after(3_000, done::countDown);
+            loop.schedule(2_000, () -> order.add(3));
+            loop.schedule(1_000, () -> order.add(2));
+            loop.schedule(0, () -> order.add(1));
+            loop.schedule(1_500, () -> order.add(9)).cancel();
+            loop.schedule(3_000, done::countDown);
         });
         await(done);
         assertEquals(List.of(1, 2, 3), order);
@@ -60,13 +60,13 @@
         List<Work> kinds = new ArrayList<>();
         CountDownLatch done = new CountDownLatch(2);
         loop.post(() -> {
-            loop.after(0, () -> {
+            loop.schedule(0, () -> {
                 kinds.add(loop.work());
                 done.countDown();
             });
             loop.as(
                     Work.SERVING,
-                    () -> loop.after(10, () -> {
+                    () -> loop.schedule(10, () -> {
                         kinds.add(loop.work());
                         done.countDown();
                     }));
