--- a/balancer/src/main/java/baymoor/assembly/Assembly.java
+++ b/balancer/src/main/java/baymoor/assembly/Assembly.java
@@ -175,10 +175,10 @@
                 peers::tell,
                 onServerList);
         listExchange.whenConfirmed(() -> {
-            discovery.heardFromOthers();
+            discovery.peerConfirmedList();
             becomeReady();
         });
-        discovery.whenUnwatched(listExchange::seek);
+        discovery.onWatchLost(listExchange::seek);
         dispatcher.setListFreshnessCheck(() -> confirmation.current(time.now()));
         dispatcher.connect(north, south, discovery, peers);
     }
@@ -222,7 +222,7 @@
             }
         }
         if (settings.module().membership() == Decisions.Membership.PUSH) {
-            discovery.attend(settings.module().rules().drainGraceMicros());
+            discovery.watchContinuously(settings.module().rules().drainGraceMicros());
             time.schedule(FIRST_LIST_TIMEOUT_MICROS, this::becomeReady);
         } else if (canAskPeers) {
             listExchange.seek();
@@ -275,7 +275,7 @@
         if (!reloadable) {
             log.accept("config: changes of name, listen, limits or peers are ignored until a restart");
         }
-        discovery.move(newSettings.discovery());
+        discovery.changeAddress(newSettings.discovery());
     }
 
     /** Returns how long after the call of {@link #drain} what is still open fails, in microseconds. */
--- a/balancer/src/main/java/baymoor/dispatch/Dispatcher.java
+++ b/balancer/src/main/java/baymoor/dispatch/Dispatcher.java
@@ -272,7 +272,7 @@
         } else if (action instanceof WatchServers a) {
             discovery.watch(a.on());
         } else if (action instanceof AskServers) {
-            discovery.ask();
+            discovery.fetchList();
         } else if (action instanceof Probe a) {
             south.probe(a.server());
         } else if (action instanceof CloseIdle a) {
--- a/balancer/src/main/java/baymoor/inventory/Discovery.java
+++ b/balancer/src/main/java/baymoor/inventory/Discovery.java
@@ -26,7 +26,7 @@
  * established watch is closed only once its successor has been established, so that no change is missed when it becomes idle
  * or discovery's address changes. A watch call that stays unanswered is hedged by a second one.
  *
- * <p>Where lists are pushed, the peer is an agent on this machine: {@link #attend} keeps a watch on it permanently and reports
+ * <p>Where lists are pushed, the peer is an agent on this machine: {@link #watchContinuously} keeps a watch on it permanently and reports
  * no failures, since the list held remains the best one available.
  *
  * <p>All methods are called on the decision thread.
@@ -115,7 +115,7 @@
     }
 
     /** Sets the task that runs each time the watch has ended or become idle. */
-    public void whenUnwatched(Runnable task) {
+    public void onWatchLost(Runnable task) {
         watchLostTask = task;
     }
 
@@ -152,7 +152,7 @@
      * @param graceMicros time within which the agent's list has to be known here after the agent was unreachable; bounds the
      *                    reconnect delay
      */
-    public void attend(long graceMicros) {
+    public void watchContinuously(long graceMicros) {
         maxReconnectDelayMicros = Math.max(MIN_RECONNECT_DELAY_MICROS, graceMicros / 2);
         reconnectDelayMicros = 0;
         startWatchCall();
@@ -171,7 +171,7 @@
     }
 
     /** Switches to another address of discovery; an established watch is kept until the new one is established. */
-    public void move(InetSocketAddress newAddress) {
+    public void changeAddress(InetSocketAddress newAddress) {
         if (newAddress.equals(address)) {
             return;
         }
@@ -179,7 +179,7 @@
         cancelWatchCalls();
         if (listCall != null && !listCall.closed) {
             listCall.cancel();
-            ask();
+            fetchList();
         }
         if (watchRequested || watchesContinuously()) {
             addressChangeAttempts = 1;
@@ -248,7 +248,7 @@
      * Handles a confirmation of the list by a peer. If the peer had the list from discovery after the watch was lost here and
      * after discovery was last unreachable, discovery is up again, and a scheduled call is rescheduled sooner.
      */
-    public void heardFromOthers() {
+    public void peerConfirmedList() {
         long confirmedMicros = confirmation.lastCompleteMicros();
         if (recoveryReported
                 || confirmedMicros <= watchLostMicros
@@ -284,7 +284,7 @@
             confirmation.callFailed(call.outcome(), call.startedMicros, time.now());
         }
         if (call == listCall && watchesContinuously()) {
-            listRetryTimer = time.schedule(nextReconnectDelay(call.startedMicros), this::ask);
+            listRetryTimer = time.schedule(nextReconnectDelay(call.startedMicros), this::fetchList);
         } else if (watchCallPending()) {
             scheduleHedgedCall(); // the pending call replaces the failed one
         } else if (watchesContinuously()) {
@@ -322,7 +322,7 @@
     }
 
     /** Fetches the whole list once, unless such a call is already in flight. */
-    public void ask() {
+    public void fetchList() {
         listRetryTimer = cancel(listRetryTimer);
         if (listCall == null || listCall.closed) {
             listCall = new Call("/v1/servers", false);
@@ -413,7 +413,7 @@
         @Override
         public void onObject(String object) {
             if (!closed && !applyList(object)) {
-                ask();
+                fetchList();
             }
         }
 
@@ -423,7 +423,7 @@
             if (!closed) {
                 counters.add(Count.INVENTORY_BAD);
                 listComplete = false;
-                ask();
+                fetchList();
             }
         }
 
--- a/balancer/src/test/java/baymoor/inventory/ContinuousWatchTest.java
+++ b/balancer/src/test/java/baymoor/inventory/ContinuousWatchTest.java
@@ -67,7 +67,7 @@
     }
 
     private FakeLink attend(String... entries) {
-        discovery.attend(GRACE_MICROS);
+        discovery.watchContinuously(GRACE_MICROS);
         FakeLink link = acceptLastCall();
         sendLine(link, list(10, true, entries));
         return link;
@@ -96,7 +96,7 @@
 
     @Test
     public void unreachableAgentIsRetriedWithinTheGraceAndAtABoundedRate() {
-        discovery.attend(GRACE_MICROS);
+        discovery.watchContinuously(GRACE_MICROS);
         int seconds = 600;
         for (long end = time.now() + seconds * 1_000_000L; time.now() < end; ) {
             lastLink().events.closed();
@@ -144,7 +144,7 @@
     @Test
     public void addressChangeKeepsTheOldWatchUntilTheNewAgentAnswers() {
         FakeLink oldWatch = attend(entry("s-a", "in_service"));
-        discovery.move(new InetSocketAddress("127.0.0.1", 2));
+        discovery.changeAddress(new InetSocketAddress("127.0.0.1", 2));
         for (int i = 0; i < 100; i++) {
             lastLink().events.closed();
             time.pass(GRACE_MICROS / 2);
@@ -159,9 +159,9 @@
 
     @Test
     public void addressChangeWithoutAWatchCallsTheNewAgentAtOnce() {
-        discovery.attend(GRACE_MICROS);
+        discovery.watchContinuously(GRACE_MICROS);
         lastLink().events.closed();
-        discovery.move(new InetSocketAddress("127.0.0.1", 2));
+        discovery.changeAddress(new InetSocketAddress("127.0.0.1", 2));
         assertEquals(List.of(1, 2), ports);
     }
 
--- a/balancer/src/test/java/baymoor/inventory/DiscoveryPacingTest.java
+++ b/balancer/src/test/java/baymoor/inventory/DiscoveryPacingTest.java
@@ -45,7 +45,7 @@
             events::add);
 
     public DiscoveryPacingTest() {
-        discovery.whenUnwatched(() -> watchLosses++);
+        discovery.onWatchLost(() -> watchLosses++);
     }
 
     private static String chunk(String text) {
@@ -143,11 +143,11 @@
         }
         discovery.watch(true);
         int callsBefore = links.size();
-        discovery.heardFromOthers();
+        discovery.peerConfirmedList();
         time.pass(SECOND);
         assertEquals("the peers have no newer list", callsBefore, links.size());
         confirmation.recordComplete(time.now());
-        discovery.heardFromOthers();
+        discovery.peerConfirmedList();
         long since = time.now();
         while (links.size() == callsBefore) {
             time.pass(1_000);
@@ -157,7 +157,7 @@
         lastLink().in(REJECTED);
         discovery.watch(true);
         callsBefore = links.size();
-        discovery.heardFromOthers();
+        discovery.peerConfirmedList();
         time.pass(SECOND / 100);
         assertEquals("at most one reschedule per lost watch", callsBefore, links.size());
     }
--- a/balancer/src/test/java/baymoor/inventory/InventoryTest.java
+++ b/balancer/src/test/java/baymoor/inventory/InventoryTest.java
@@ -270,7 +270,7 @@
     public void addressChangeKeepsTheOldWatchUntilTheNewOneIsEstablished() {
         FakeLink oldWatch = establishWatch();
         oldWatch.in(chunk(list(7, true, entry("s-a", "in_service", 0)) + "\n"));
-        discovery.move(new InetSocketAddress("127.0.0.1", 2));
+        discovery.changeAddress(new InetSocketAddress("127.0.0.1", 2));
         FakeLink newWatch = links.get(1);
         newWatch.events.opened();
         assertTrue(newWatch.takeOut().startsWith("GET /v1/servers?watch=1&from=7 HTTP/1.1\r\nHost: 127.0.0.1:2\r\n"));
@@ -287,7 +287,7 @@
     @Test
     public void addressChangeIsRetriedEvenIfTheOldWatchEnds() {
         FakeLink oldWatch = establishWatch();
-        discovery.move(new InetSocketAddress("127.0.0.1", 2));
+        discovery.changeAddress(new InetSocketAddress("127.0.0.1", 2));
         links.get(1).events.closed();
         oldWatch.events.closed();
         time.pass(300_000);
@@ -305,7 +305,7 @@
     public void unsuccessfulAddressChangeIsReportedOnce() {
         establishWatch().events.closed();
         assertEquals("[FAILED]", takeEventKinds());
-        discovery.move(new InetSocketAddress("127.0.0.1", 2));
+        discovery.changeAddress(new InetSocketAddress("127.0.0.1", 2));
         for (int i = 1; i < links.size() && i < 50; i++) {
             links.get(i).events.closed();
             time.pass(300_000);
