--- a/balancer/src/main/java/baymoor/assembly/Assembly.java
+++ b/balancer/src/main/java/baymoor/assembly/Assembly.java
@@ -174,18 +174,18 @@
                 counters,
                 peers::tell,
                 onServerList);
-        listExchange.whenConfirmed(() -> {
+        listExchange.onListConfirmed(() -> {
             discovery.peerConfirmedList();
             becomeReady();
         });
-        discovery.onWatchLost(listExchange::seek);
+        discovery.onWatchLost(listExchange::startQuerying);
         dispatcher.setListFreshnessCheck(() -> confirmation.current(time.now()));
         dispatcher.connect(north, south, discovery, peers);
     }
 
     /** Handles a datagram of another balancer: a message of the list exchange here, any other one in the decision module. */
     private void peerMessageReceived(int peer, byte[] content) {
-        if (!listExchange.heard(peer, content)) {
+        if (!listExchange.handleDatagram(peer, content)) {
             dispatcher.heard(peer, content);
         }
     }
@@ -225,7 +225,7 @@
             discovery.watchContinuously(settings.module().rules().drainGraceMicros());
             time.schedule(FIRST_LIST_TIMEOUT_MICROS, this::becomeReady);
         } else if (canAskPeers) {
-            listExchange.seek();
+            listExchange.startQuerying();
             time.schedule(FIRST_PEER_ANSWER_TIMEOUT_MICROS, this::becomeReady);
         } else {
             becomeReady();
--- a/balancer/src/main/java/baymoor/inventory/ListExchange.java
+++ b/balancer/src/main/java/baymoor/inventory/ListExchange.java
@@ -95,12 +95,12 @@
     }
 
     /** Sets the task that runs each time a peer's reply has confirmed the list. */
-    public void whenConfirmed(Runnable task) {
+    public void onListConfirmed(Runnable task) {
         confirmedTask = task;
     }
 
     /** Starts querying peers, unless a watch is live or queries are already running. */
-    public void seek() {
+    public void startQuerying() {
         if (nextQueryTimer == null && !confirmation.hasLiveWatch() && balancerCount > 1) {
             queryIntervalMicros = INITIAL_QUERY_INTERVAL_MICROS;
             queryPeers();
@@ -153,7 +153,7 @@
      * @param from the sender's index in the tier
      * @return false if the datagram is of another kind than {@link ListMessage}
      */
-    public boolean heard(int from, byte[] datagram) {
+    public boolean handleDatagram(int from, byte[] datagram) {
         if (!ListMessage.isListMessage(datagram)) {
             return false;
         }
--- a/balancer/src/test/java/baymoor/inventory/ListExchangeTest.java
+++ b/balancer/src/test/java/baymoor/inventory/ListExchangeTest.java
@@ -60,7 +60,7 @@
         void deliver(int from, byte[] content) {
             if (receiving) {
                 assertTrue(content.length <= 256);
-                exchange.heard(from, content);
+                exchange.handleDatagram(from, content);
             }
         }
 
@@ -112,7 +112,7 @@
     }
 
     private void seekAll() {
-        nodes.forEach(node -> node.exchange.seek());
+        nodes.forEach(node -> node.exchange.startQuerying());
     }
 
     @Test
@@ -196,8 +196,8 @@
         time.pass(60 * SECOND);
         assertEquals(sentBefore, sentDatagrams);
         nodes.get(2).confirmation.watchLost();
-        nodes.get(2).exchange.seek();
-        nodes.get(2).exchange.seek();
+        nodes.get(2).exchange.startQuerying();
+        nodes.get(2).exchange.startQuerying();
         assertEquals("one round of three queries", sentBefore + 3, sentDatagrams);
     }
 
@@ -207,7 +207,7 @@
         Node querying = nodes.get(0);
         querying.inventory.applyWatchObject(list(2, false, draining("a")).toString());
         watch(1, list(3, false, running("a"), draining("b"), running("c")));
-        querying.exchange.seek();
+        querying.exchange.startQuerying();
         time.pass(SECOND);
         assertEquals(State.DRAINING, querying.state(A));
         assertEquals(State.DRAINING, querying.state(B));
@@ -225,7 +225,7 @@
         querying.inventory.applyWatchObject(
                 list(9, true, running("a"), running("b")).toString());
         watch(1, list(8, true, running("a")));
-        querying.exchange.seek();
+        querying.exchange.startQuerying();
         time.pass(SECOND);
         assertEquals(State.RUNNING, querying.state(B));
         assertFalse(querying.confirmation.isConfirmed());
@@ -236,7 +236,7 @@
         startTier(2);
         Node querying = nodes.get(0);
         watch(1, list(5, false, draining("a")));
-        querying.exchange.seek();
+        querying.exchange.startQuerying();
         time.pass(SECOND);
         ServerList olderList = querying.inventory.applyWatchObject(
                 list(4, true, running("a"), running("b")).toString());
@@ -276,7 +276,7 @@
         querying.inventory.applyWatchObject(
                 list(500, true, running("a"), running("b")).toString());
         watch(1, list(501, true, running("b")));
-        querying.exchange.seek();
+        querying.exchange.startQuerying();
         time.pass(SECOND);
         assertEquals(State.DRAINING, querying.state(A));
         for (int i = 0; i < 3; i++) {
@@ -291,8 +291,8 @@
     public void replyWithoutAQueryIsCountedAndDropped() {
         startTier(3);
         Node node = nodes.get(0);
-        node.exchange.heard(1, new ListMessage.Reply(1, 9, 0, 0, 1, List.of()).encode());
-        node.exchange.heard(1, new ListMessage.NoNewerList(1, 0).encode());
+        node.exchange.handleDatagram(1, new ListMessage.Reply(1, 9, 0, 0, 1, List.of()).encode());
+        node.exchange.handleDatagram(1, new ListMessage.NoNewerList(1, 0).encode());
         assertEquals(2, node.counters.get(Count.PEER_BAD));
         assertEquals(State.RUNNING, node.state(A));
         assertFalse(node.confirmation.isConfirmed());
@@ -324,7 +324,7 @@
         startTier(2);
         byte[] decisionDatagram = new byte[45];
         decisionDatagram[0] = 1;
-        assertFalse(nodes.get(0).exchange.heard(1, decisionDatagram));
-        assertFalse(nodes.get(0).exchange.heard(1, new byte[0]));
+        assertFalse(nodes.get(0).exchange.handleDatagram(1, decisionDatagram));
+        assertFalse(nodes.get(0).exchange.handleDatagram(1, new byte[0]));
     }
 }
