--- a/balancer/src/main/java/baymoor/assembly/Assembly.java
+++ b/balancer/src/main/java/baymoor/assembly/Assembly.java
@@ -142,7 +142,7 @@
                 : 0;
         canAskPeers = exchangeMembers > 1;
         ListConfirmation confirmation =
-                listIsPolled ? ListConfirmation.from(time.now(), canAskPeers) : ListConfirmation.notNeeded();
+                listIsPolled ? ListConfirmation.startingAt(time.now(), canAskPeers) : ListConfirmation.notNeeded();
         Consumer<ServerList> onServerList = list -> {
             dispatcher.listed(list);
             inventory.forget(south::inUse);
@@ -179,7 +179,7 @@
             becomeReady();
         });
         discovery.onWatchLost(listExchange::startQuerying);
-        dispatcher.setListFreshnessCheck(() -> confirmation.current(time.now()));
+        dispatcher.setListFreshnessCheck(() -> confirmation.isFresh(time.now()));
         dispatcher.connect(north, south, discovery, peers);
     }
 
--- a/balancer/src/main/java/baymoor/inventory/ListConfirmation.java
+++ b/balancer/src/main/java/baymoor/inventory/ListConfirmation.java
@@ -5,7 +5,7 @@
  * whether or not it has arrived. Attempts may therefore start until that long after the last time at which the list was known
  * to be complete, or discovery known to be unreachable.
  *
- * <p>Keeps timestamps only and sets no timer; {@link #current} is evaluated for each attempt. Used on the decision thread.
+ * <p>Keeps timestamps only and sets no timer; {@link #isFresh} is evaluated for each attempt. Used on the decision thread.
  */
 public final class ListConfirmation {
 
@@ -43,7 +43,7 @@
      *
      * @param hasPeers whether there are peers to query
      */
-    public static ListConfirmation from(long nowMicros, boolean hasPeers) {
+    public static ListConfirmation startingAt(long nowMicros, boolean hasPeers) {
         return new ListConfirmation(true, hasPeers, nowMicros);
     }
 
@@ -114,7 +114,7 @@
     }
 
     /** Returns whether a new attempt may use the list held. */
-    public boolean current(long nowMicros) {
+    public boolean isFresh(long nowMicros) {
         long lastValidMicros = Math.max(startedMicros, Math.max(lastCompleteMicros, lastUnreachableMicros));
         return !required || watchLive || nowMicros < lastValidMicros + MAX_LIST_AGE_MICROS;
     }
--- a/balancer/src/test/java/baymoor/inventory/DiscoveryPacingTest.java
+++ b/balancer/src/test/java/baymoor/inventory/DiscoveryPacingTest.java
@@ -25,7 +25,7 @@
     private final ManualTime time = new ManualTime();
     private final Counters counters = new Counters();
     private final Inventory inventory = new Inventory(millis -> millis * 1000, counters);
-    private final ListConfirmation confirmation = ListConfirmation.from(time.now(), true);
+    private final ListConfirmation confirmation = ListConfirmation.startingAt(time.now(), true);
     private final List<ServerList> events = new ArrayList<>();
     private final List<FakeLink> links = new ArrayList<>();
     private int watchLosses;
@@ -210,7 +210,7 @@
         requestWatchAndAwaitCall();
         lastLink().events.closed();
         time.pass(5 * SECOND);
-        assertTrue(confirmation.current(time.now()));
+        assertTrue(confirmation.isFresh(time.now()));
     }
 
     @Test
@@ -220,6 +220,6 @@
         time.pass(3 * SECOND);
         lastLink().in(REJECTED);
         time.pass(4 * SECOND);
-        assertFalse(confirmation.current(time.now()));
+        assertFalse(confirmation.isFresh(time.now()));
     }
 }
--- a/balancer/src/test/java/baymoor/inventory/ListConfirmationTest.java
+++ b/balancer/src/test/java/baymoor/inventory/ListConfirmationTest.java
@@ -12,11 +12,11 @@
     private static final long SECOND = 1_000_000;
     private static final long START = 100 * SECOND;
 
-    private final ListConfirmation confirmation = ListConfirmation.from(START, true);
+    private final ListConfirmation confirmation = ListConfirmation.startingAt(START, true);
 
     private void checkCurrentUntil(long micros) {
-        assertTrue(confirmation.current(micros - 1));
-        assertFalse(confirmation.current(micros));
+        assertTrue(confirmation.isFresh(micros - 1));
+        assertFalse(confirmation.isFresh(micros));
     }
 
     @Test
@@ -28,7 +28,7 @@
     @Test
     public void listIsCurrentWhileTheWatchIsLiveAndSixSecondsAfterItsLastHeartbeat() {
         confirmation.watchHeartbeat(START + 3 * SECOND);
-        assertTrue(confirmation.current(START + 1000 * SECOND));
+        assertTrue(confirmation.isFresh(START + 1000 * SECOND));
         confirmation.watchHeartbeat(START + 50 * SECOND);
         confirmation.watchLost();
         checkCurrentUntil(START + 56 * SECOND);
@@ -62,9 +62,9 @@
 
     @Test
     public void rejectionCountsAsUnreachableWithoutPeers() {
-        ListConfirmation withoutPeers = ListConfirmation.from(START, false);
+        ListConfirmation withoutPeers = ListConfirmation.startingAt(START, false);
         withoutPeers.callFailed(Outcome.REJECTED, START + 5 * SECOND, START + 5 * SECOND + 9);
-        assertTrue(withoutPeers.current(START + 10 * SECOND));
+        assertTrue(withoutPeers.isFresh(START + 10 * SECOND));
     }
 
     @Test
@@ -76,6 +76,6 @@
 
     @Test
     public void pushedListIsAlwaysCurrent() {
-        assertTrue(ListConfirmation.notNeeded().current(Long.MAX_VALUE / 4));
+        assertTrue(ListConfirmation.notNeeded().isFresh(Long.MAX_VALUE / 4));
     }
 }
--- a/balancer/src/test/java/baymoor/inventory/ListExchangeTest.java
+++ b/balancer/src/test/java/baymoor/inventory/ListExchangeTest.java
@@ -38,7 +38,7 @@
         final int number;
         final Counters counters = new Counters();
         final Inventory inventory = new Inventory(millis -> millis * 1000, counters);
-        final ListConfirmation confirmation = ListConfirmation.from(time.now(), true);
+        final ListConfirmation confirmation = ListConfirmation.startingAt(time.now(), true);
         final List<ServerList> events = new ArrayList<>();
         final ListExchange exchange;
         boolean receiving = true;
@@ -177,7 +177,7 @@
         time.pass(20 * SECOND);
         for (Node node : nodes) {
             assertTrue(node.confirmation.lastCompleteMicros() <= watchedMicros);
-            assertFalse(node.confirmation.current(watchedMicros + 26 * SECOND));
+            assertFalse(node.confirmation.isFresh(watchedMicros + 26 * SECOND));
         }
     }
 
@@ -264,9 +264,9 @@
             detecting.confirmation.callFailed(CallPacing.Outcome.CONNECTION_FAILED, time.now(), time.now());
             time.pass(SECOND);
         }
-        nodes.forEach(node -> assertTrue(node.confirmation.current(time.now())));
+        nodes.forEach(node -> assertTrue(node.confirmation.isFresh(time.now())));
         time.pass(7 * SECOND);
-        nodes.forEach(node -> assertFalse(node.confirmation.current(time.now())));
+        nodes.forEach(node -> assertFalse(node.confirmation.isFresh(time.now())));
     }
 
     @Test
