--- a/balancer/src/main/java/baymoor/assembly/Assembly.java
+++ b/balancer/src/main/java/baymoor/assembly/Assembly.java
@@ -145,7 +145,7 @@
                 listIsPolled ? ListConfirmation.startingAt(time.now(), canAskPeers) : ListConfirmation.notNeeded();
         Consumer<ServerList> onServerList = list -> {
             dispatcher.listed(list);
-            inventory.forget(south::inUse);
+            inventory.removeGoneHosts(south::inUse);
             becomeReady();
         };
         discovery = new Discovery(
@@ -216,7 +216,7 @@
         startServing = serve;
         if (settings.known() != null) {
             try {
-                dispatcher.listed(inventory.known(settings.known()));
+                dispatcher.listed(inventory.applyConfiguredList(settings.known()));
             } catch (JSONException e) {
                 log.accept("config: known is not a valid server list, starting without it: " + e.getMessage());
             }
--- a/balancer/src/main/java/baymoor/inventory/Inventory.java
+++ b/balancer/src/main/java/baymoor/inventory/Inventory.java
@@ -145,7 +145,7 @@
      *
      * @param inUse whether a host's id is still referenced, for instance by queued attempts
      */
-    public void forget(LongPredicate inUse) {
+    public void removeGoneHosts(LongPredicate inUse) {
         entries.values().removeIf(entry -> entry.state() == State.GONE && !inUse.test(entry.id()));
         servers.keySet().retainAll(entries.keySet());
         stoppedByPeers.retainAll(entries.keySet());
@@ -161,7 +161,7 @@
      *
      * @throws JSONException if it has no index or no endpoints
      */
-    public ServerList known(JSONObject object) {
+    public ServerList applyConfiguredList(JSONObject object) {
         return apply(object, ListKind.LAST_KNOWN);
     }
 
--- a/balancer/src/main/java/baymoor/serve/WarmUp.java
+++ b/balancer/src/main/java/baymoor/serve/WarmUp.java
@@ -90,7 +90,7 @@
                 .filter(k -> !k.equals(origin))
                 .findFirst()
                 .orElse("");
-        thread.post(() -> dispatcher.listed(inventory.known(new JSONObject("{\"index\":1,\"endpoints\":["
+        thread.post(() -> dispatcher.listed(inventory.applyConfiguredList(new JSONObject("{\"index\":1,\"endpoints\":["
                 + entry("a", cacheType) + "," + entry("b", cacheType) + "," + entry("o", origin) + "]}"))));
     }
 
--- a/balancer/src/test/java/baymoor/inventory/InventoryTest.java
+++ b/balancer/src/test/java/baymoor/inventory/InventoryTest.java
@@ -109,9 +109,9 @@
                 .get(0)
                 .id();
         inventory.applyWatchObject(list(2, true, entry("s-b", "in_service", 0)));
-        inventory.forget(id -> id == a);
+        inventory.removeGoneHosts(id -> id == a);
         assertEquals(State.GONE, inventory.entry(a).state());
-        inventory.forget(id -> false);
+        inventory.removeGoneHosts(id -> false);
         assertEquals(null, inventory.entry(a));
         assertEquals(State.RUNNING, inventory.entry(Inventory.hash("s-b")).state());
     }
--- a/balancer/src/test/java/baymoor/inventory/ListExchangeTest.java
+++ b/balancer/src/test/java/baymoor/inventory/ListExchangeTest.java
@@ -84,7 +84,7 @@
     private void startTier(int balancers) {
         for (int i = 0; i < balancers; i++) {
             nodes.add(new Node(i, balancers));
-            nodes.get(i).inventory.known(list(1, true, running("a"), running("b")));
+            nodes.get(i).inventory.applyConfiguredList(list(1, true, running("a"), running("b")));
         }
     }
 
