--- a/balancer/src/main/java/baymoor/dispatch/Dispatcher.java
+++ b/balancer/src/main/java/baymoor/dispatch/Dispatcher.java
@@ -119,7 +119,7 @@
     }
 
     @Override
-    public void taken(long ticket, ClientRequest request) {
+    public void requestReceived(long ticket, ClientRequest request) {
         String requestId = Long.toString(ticket);
         requests.put(requestId, new OpenRequest(ticket, request));
         openClientRequestIds.add(request.id());
@@ -157,12 +157,12 @@
     }
 
     @Override
-    public boolean open(String clientRequestId) {
+    public boolean isRequestIdInUse(String clientRequestId) {
         return openClientRequestIds.contains(clientRequestId);
     }
 
     @Override
-    public void gone(long ticket) {
+    public void requestAbandoned(long ticket) {
         OpenRequest open = requests.get(Long.toString(ticket));
         if (open != null && !open.done) {
             for (int attempt = 0; attempt < open.attemptCount; attempt++) {
--- a/balancer/src/main/java/baymoor/north/North.java
+++ b/balancer/src/main/java/baymoor/north/North.java
@@ -185,7 +185,7 @@
 
     /** Returns whether a request with this id is open, or an attempt of it is still in flight. */
     boolean isIdInUse(String id) {
-        return requestHandler.open(id);
+        return requestHandler.isRequestIdInUse(id);
     }
 
     /** Returns, and counts, whether the request would exceed the limits on open requests or on their memory. */
@@ -221,14 +221,14 @@
     }
 
     void dispatch(PendingReply pending, ClientRequest request) {
-        requestHandler.taken(pending.ticket, request);
+        requestHandler.requestReceived(pending.ticket, request);
     }
 
     private void failOverdue(PendingReply pending) {
         if (pendingByTicket.containsKey(pending.ticket)) {
             counters.add(Count.OVERDUE);
             answer(pending.ticket, new Answer.Failed());
-            requestHandler.gone(pending.ticket);
+            requestHandler.requestAbandoned(pending.ticket);
         }
     }
 
@@ -270,7 +270,7 @@
         }
         for (PendingReply pending : abandoned) {
             counters.add(Count.REQUESTS_GONE);
-            requestHandler.gone(pending.ticket);
+            requestHandler.requestAbandoned(pending.ticket);
         }
     }
 
--- a/balancer/src/main/java/baymoor/north/RequestHandler.java
+++ b/balancer/src/main/java/baymoor/north/RequestHandler.java
@@ -6,13 +6,13 @@
  */
 public interface RequestHandler {
     /** Handles a new request; its response is sent by {@link North#answer} with the ticket. */
-    void taken(long ticket, ClientRequest request);
+    void requestReceived(long ticket, ClientRequest request);
 
     /**
      * Returns whether a request with this client-chosen id has not been answered, or still has an attempt in flight.
      */
-    boolean open(String id);
+    boolean isRequestIdInUse(String id);
 
     /** Called when a request needs no answer any more: its client has disconnected, or its deadline has passed. */
-    void gone(long ticket);
+    void requestAbandoned(long ticket);
 }
--- a/balancer/src/test/java/baymoor/north/NorthTest.java
+++ b/balancer/src/test/java/baymoor/north/NorthTest.java
@@ -25,17 +25,17 @@
             Set.of("read"),
             new RequestHandler() {
                 @Override
-                public void taken(long ticket, ClientRequest request) {
+                public void requestReceived(long ticket, ClientRequest request) {
                     received.add(request);
                 }
 
                 @Override
-                public void gone(long ticket) {
+                public void requestAbandoned(long ticket) {
                     abandoned.add(ticket);
                 }
 
                 @Override
-                public boolean open(String id) {
+                public boolean isRequestIdInUse(String id) {
                     return id.equals("open");
                 }
             },
