--- a/balancer/src/main/java/baymoor/assembly/Assembly.java
+++ b/balancer/src/main/java/baymoor/assembly/Assembly.java
@@ -196,7 +196,7 @@
 
     /** Returns the limit of open client connections, including those that are being evicted. */
     public static int mostAccepted(Settings settings) {
-        return maxConnectionsPerSide(settings) + North.MOST_BEYOND;
+        return maxConnectionsPerSide(settings) + North.MAX_CONNECTIONS_OVER_LIMIT;
     }
 
     /** @param configured limit of the settings, 0 without one */
@@ -246,7 +246,7 @@
      * @return the receiver of the connection's events
      */
     public LinkEvents client(Link link) {
-        return north.client(link);
+        return north.accept(link);
     }
 
     /** Handles a datagram of another balancer. */
@@ -318,7 +318,7 @@
 
     /** Polls until every answer is written and every connection is half-closed, then gives clients time to close theirs. */
     private void pollUntilQuiet(Runnable ended) {
-        if (north.quiet()) {
+        if (north.isDrained()) {
             awaitClientCloses(ended, time.now() + CLIENT_CLOSE_GRACE_MICROS);
         } else {
             time.schedule(DRAIN_POLL_MICROS, () -> pollUntilQuiet(ended));
@@ -326,7 +326,7 @@
     }
 
     private void awaitClientCloses(Runnable ended, long untilMicros) {
-        if (north.empty() || time.now() >= untilMicros) {
+        if (north.hasNoConnections() || time.now() >= untilMicros) {
             ended.run();
         } else {
             time.schedule(DRAIN_POLL_MICROS, () -> awaitClientCloses(ended, untilMicros));
--- a/balancer/src/main/java/baymoor/dispatch/Dispatcher.java
+++ b/balancer/src/main/java/baymoor/dispatch/Dispatcher.java
@@ -335,7 +335,7 @@
                             case KEYED -> time.now() < open.firstPossibleRunMicros + requestClass.windowMicros();
                             case UNSAFE -> false;
                         };
-        return repeatAllowed && !open.done && north.waits(open.ticket) && listFresh.getAsBoolean();
+        return repeatAllowed && !open.done && north.isAwaited(open.ticket) && listFresh.getAsBoolean();
     }
 
     private void answerRequest(String requestId, Answer answer) {
--- a/balancer/src/main/java/baymoor/north/North.java
+++ b/balancer/src/main/java/baymoor/north/North.java
@@ -33,7 +33,7 @@
     /** Evicted connections that may wait for their clients to close them. */
     private static final int MAX_EVICTED_CONNECTIONS = 8;
     /** Most connections over the limit: excess and evicted ones, and as many excess ones again that are closing. */
-    public static final int MOST_BEYOND = 2 * MAX_EXCESS_CONNECTIONS + MAX_EVICTED_CONNECTIONS;
+    public static final int MAX_CONNECTIONS_OVER_LIMIT = 2 * MAX_EXCESS_CONNECTIONS + MAX_EVICTED_CONNECTIONS;
 
     final Time time;
     final Counters counters;
@@ -114,7 +114,7 @@
     }
 
     /** Accepts a client's connection and returns the listener for its events. */
-    public LinkEvents client(Link link) {
+    public LinkEvents accept(Link link) {
         counters.add(Count.CLIENTS_ACCEPTED);
         RespClient client = new RespClient(this, link);
         clients.add(client);
@@ -233,7 +233,7 @@
     }
 
     /** Returns whether the request is open and its client still connected, as far as is known. */
-    public boolean waits(long ticket) {
+    public boolean isAwaited(long ticket) {
         PendingReply pending = pendingByTicket.get(ticket);
         return pending != null && pending.client.isConnected();
     }
@@ -292,12 +292,12 @@
     }
 
     /** Returns whether no request is open, all replies have been sent and the output of every connection is closed. */
-    public boolean quiet() {
+    public boolean isDrained() {
         return pendingByTicket.isEmpty() && allClients().stream().allMatch(RespClient::isOutputClosed);
     }
 
     /** Returns whether no connection is left. */
-    public boolean empty() {
+    public boolean hasNoConnections() {
         return clients.isEmpty() && evicted.isEmpty();
     }
 
--- a/balancer/src/main/java/baymoor/serve/WarmUp.java
+++ b/balancer/src/main/java/baymoor/serve/WarmUp.java
@@ -143,7 +143,7 @@
         CountDownLatch pendingExchanges = new CountDownLatch(2);
         InetSocketAddress peerAddress = net.listenToPeers(anyPort, (from, content) -> pendingExchanges.countDown());
         net.send(peerAddress, new byte[1]);
-        InetSocketAddress address = net.listen(anyPort, socketWarmUp.north::client);
+        InetSocketAddress address = net.listen(anyPort, socketWarmUp.north::accept);
         Link[] link = new Link[1];
         link[0] = net.dial(address, new LinkEvents() {
             @Override
@@ -224,7 +224,7 @@
 
     private final class StubClient extends StubLink {
         StubClient() {
-            events = north.client(this);
+            events = north.accept(this);
         }
 
         void sendRequest() {
--- a/balancer/src/test/java/baymoor/dispatch/DispatcherTest.java
+++ b/balancer/src/test/java/baymoor/dispatch/DispatcherTest.java
@@ -89,7 +89,7 @@
                 dispatcher);
         dispatcher.connect(
                 north, south, null, new Peers(List.of(), null, null, (to, bytes) -> {}, counters, dispatcher::heard));
-        client.events = north.client(client);
+        client.events = north.accept(client);
     }
 
     private static RequestClass requestClass(String name, Effect effect, long dedupWindowMicros) {
@@ -246,7 +246,7 @@
             second.events.written();
             second.events.closed();
             client.events.closed();
-            client.events = north.client(client);
+            client.events = north.accept(client);
             time.pass(0);
         }
     }
--- a/balancer/src/test/java/baymoor/north/NorthTest.java
+++ b/balancer/src/test/java/baymoor/north/NorthTest.java
@@ -47,7 +47,7 @@
     @Before
     public void connect() {
         link.leaves = true;
-        link.events = north.client(link);
+        link.events = north.accept(link);
     }
 
     static String command(String... words) {
@@ -137,7 +137,7 @@
         assertTrue(idle.closed);
         assertFalse(link.closed);
         north.answer(1, new Answer.Failed());
-        assertTrue(link.closed && north.quiet());
+        assertTrue(link.closed && north.isDrained());
     }
 
     @Test
@@ -145,23 +145,23 @@
         FakeLink silent = connectClient();
         time.pass(200_000);
         north.drain();
-        assertFalse(link.closed || north.quiet());
+        assertFalse(link.closed || north.isDrained());
         link.in(getCommand("a"));
         north.answer(1, new Answer.Failed());
         assertEquals("-ERR failed\r\n", link.takeOut());
         assertTrue(link.closed);
         assertFalse(silent.closed);
         time.pass(600_000);
-        assertTrue(silent.closed && north.quiet());
+        assertTrue(silent.closed && north.isDrained());
     }
 
     @Test
     public void clientIdleLongestIsEvictedAboveTheLimit() {
         FakeLink second = new FakeLink();
-        second.events = north.client(second);
+        second.events = north.accept(second);
         second.in(command("PING"));
         link.in(command("PING"));
-        north.client(new FakeLink());
+        north.accept(new FakeLink());
         assertTrue(second.closed);
         assertFalse(link.closed);
     }
@@ -169,7 +169,7 @@
     private FakeLink connectClient() {
         FakeLink added = new FakeLink();
         added.leaves = true;
-        added.events = north.client(added);
+        added.events = north.accept(added);
         return added;
     }
 
@@ -311,11 +311,11 @@
     @Test
     public void connectionsOverTheLimitAreRejectedAndClosed() {
         FakeLink second = new FakeLink();
-        second.events = north.client(second);
+        second.events = north.accept(second);
         link.in(getCommand("a"));
         second.in(getCommand("b"));
         FakeLink third = new FakeLink();
-        third.events = north.client(third);
+        third.events = north.accept(third);
         third.in(getCommand("c"));
         assertEquals("-BUSY 1000\r\n", third.takeOut());
         assertTrue(third.closed);
