--- a/balancer/src/main/java/baymoor/assembly/Assembly.java
+++ b/balancer/src/main/java/baymoor/assembly/Assembly.java
@@ -37,14 +37,14 @@
      * The clock, network and limits that a balancer runs with.
      *
      * @param unixMillisToMicros converts Unix time in milliseconds to the time of {@code time}, in microseconds
-     * @param mostValueBytes     limit of the values of all open writes together, in bytes
+     * @param maxValueBytes      limit of the values of all open writes together, in bytes
      */
-    public record Surroundings(
+    public record Environment(
             Time time,
             Dialer dialer,
             PeerLink peers,
             LongUnaryOperator unixMillisToMicros,
-            long mostValueBytes,
+            long maxValueBytes,
             Counters counters,
             Consumer<String> log) {}
 
@@ -94,7 +94,7 @@
     private Runnable startServing;
 
     /** Creates a balancer; {@link #start} starts it. */
-    public Assembly(Settings settings, Surroundings environment) {
+    public Assembly(Settings settings, Environment environment) {
         this.settings = settings;
         time = environment.time();
         log = environment.log();
@@ -118,7 +118,7 @@
                 dispatcher,
                 maxConnections,
                 maxOpenRequests(decisionSettings.limits().maxOpen()),
-                environment.mostValueBytes(),
+                environment.maxValueBytes(),
                 counters::report);
         int originKind = decisionSettings.origin().kind();
         boolean originListed = decisionSettings.origin().mode() == Decisions.Mode.ASIDE
--- a/balancer/src/main/java/baymoor/serve/Balancer.java
+++ b/balancer/src/main/java/baymoor/serve/Balancer.java
@@ -39,7 +39,7 @@
         long clockOffsetMicros = decisionThread.read() - System.currentTimeMillis() * 1000;
         assembly = new Assembly(
                 settings,
-                new Assembly.Surroundings(
+                new Assembly.Environment(
                         decisionThread,
                         net,
                         net,
--- a/balancer/src/test/java/baymoor/assembly/EveryFieldTest.java
+++ b/balancer/src/test/java/baymoor/assembly/EveryFieldTest.java
@@ -116,7 +116,7 @@
         try {
             Assembly assembly = new Assembly(
                     Config.parse(config, Map.of()),
-                    new Assembly.Surroundings(
+                    new Assembly.Environment(
                             time,
                             (to, events) -> {
                                 FakeLink link = new FakeLink();
--- a/emulator/src/main/java/baymoor/emulator/virtual/VirtualFleet.java
+++ b/emulator/src/main/java/baymoor/emulator/virtual/VirtualFleet.java
@@ -107,7 +107,7 @@
         try {
             Assembly assembly = new Assembly(
                     Config.parse(json, Map.of()),
-                    new Assembly.Surroundings(
+                    new Assembly.Environment(
                             b.process,
                             faults.wrapDialer(b.process, net.dialer(b.process)),
                             (to, content) -> net.send(b.process, platform.peer(b.number, b.number), to, content),
--- a/scale/src/main/java/baymoor/scale/hollow/HollowBalancer.java
+++ b/scale/src/main/java/baymoor/scale/hollow/HollowBalancer.java
@@ -80,7 +80,7 @@
             long clocksApart = loop.read() - System.currentTimeMillis() * 1000;
             parts = new Assembly(
                     settings,
-                    new Assembly.Surroundings(
+                    new Assembly.Environment(
                             this,
                             this::dial,
                             this::send,
