--- a/balancer/src/main/java/baymoor/assembly/Assembly.java
+++ b/balancer/src/main/java/baymoor/assembly/Assembly.java
@@ -195,7 +195,7 @@
     }
 
     /** Returns the limit of open client connections, including those that are being evicted. */
-    public static int mostAccepted(Settings settings) {
+    public static int maxAcceptedConnections(Settings settings) {
         return maxConnectionsPerSide(settings) + North.MAX_CONNECTIONS_OVER_LIMIT;
     }
 
@@ -245,12 +245,12 @@
      *
      * @return the receiver of the connection's events
      */
-    public LinkEvents client(Link link) {
+    public LinkEvents clientConnected(Link link) {
         return north.accept(link);
     }
 
     /** Handles a datagram of another balancer. */
-    public void heard(InetSocketAddress from, byte[] content) {
+    public void datagramReceived(InetSocketAddress from, byte[] content) {
         peers.received(from, content);
     }
 
@@ -279,7 +279,7 @@
     }
 
     /** Returns how long after the call of {@link #drain} what is still open fails, in microseconds. */
-    public long mostDrainMicros() {
+    public long maxDrainMicros() {
         long longestDeadlineMicros = settings.module().classes().stream()
                 .mapToLong(Decisions.RequestClass::deadlineMicros)
                 .max()
@@ -310,7 +310,7 @@
             stopListening.run();
             time.schedule(DRAIN_POLL_MICROS, () -> pollUntilQuiet(endOnce));
         });
-        time.schedule(mostDrainMicros(), () -> {
+        time.schedule(maxDrainMicros(), () -> {
             north.failAll();
             time.schedule(CLIENT_CLOSE_GRACE_MICROS, endOnce);
         });
--- a/balancer/src/main/java/baymoor/serve/Balancer.java
+++ b/balancer/src/main/java/baymoor/serve/Balancer.java
@@ -35,7 +35,7 @@
         this.log = log;
         Counters counters = new Counters();
         decisionThread = new DecisionThread(counters, log);
-        net = new MinaNet(decisionThread, Assembly.mostAccepted(settings));
+        net = new MinaNet(decisionThread, Assembly.maxAcceptedConnections(settings));
         long clockOffsetMicros = decisionThread.read() - System.currentTimeMillis() * 1000;
         assembly = new Assembly(
                 settings,
@@ -52,14 +52,14 @@
     /** Returns once the balancer listens, or once it has been drained before that. */
     void start() throws IOException, InterruptedException {
         if (settings.peerListen() != null && settings.module().limits().mayTellPeers()) {
-            net.listenToPeers(settings.peerListen(), assembly::heard);
+            net.listenToPeers(settings.peerListen(), assembly::datagramReceived);
         }
         decisionThread.post(() -> assembly.start(readyToListen::countDown));
         new Thread(decisionThread, "decisions").start();
         readyToListen.await();
         synchronized (this) {
             if (!draining) {
-                net.listen(settings.listen(), assembly::client);
+                net.listen(settings.listen(), assembly::clientConnected);
                 listening = true;
                 log.accept("listening: " + settings.listen().getAddress().getHostAddress() + ":"
                         + settings.listen().getPort());
@@ -86,7 +86,7 @@
         decisionThread.post(() ->
                 assembly.drain(() -> new Thread(net::stopListening, "stop-listening").start(), drained::countDown));
         try {
-            drained.await(assembly.mostDrainMicros() + DRAIN_TIMEOUT_MARGIN_MICROS, TimeUnit.MICROSECONDS);
+            drained.await(assembly.maxDrainMicros() + DRAIN_TIMEOUT_MARGIN_MICROS, TimeUnit.MICROSECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/balancer/src/test/java/baymoor/assembly/EveryFieldTest.java
+++ b/balancer/src/test/java/baymoor/assembly/EveryFieldTest.java
@@ -129,7 +129,7 @@
                             counters,
                             line -> {}));
             assembly.start(() -> {});
-            LinkEvents events = assembly.client(client);
+            LinkEvents events = assembly.clientConnected(client);
             client.events = events;
             events.opened();
             events.received(RespWriter.command(
--- a/emulator/src/main/java/baymoor/emulator/virtual/VirtualFleet.java
+++ b/emulator/src/main/java/baymoor/emulator/virtual/VirtualFleet.java
@@ -120,7 +120,7 @@
                                     .log(line)));
             b.assembly = assembly;
             b.reportedFailures = 0;
-            net.bindDatagrams(platform.peer(b.number, b.number), b.process, assembly::heard);
+            net.bindDatagrams(platform.peer(b.number, b.number), b.process, assembly::datagramReceived);
             b.process.post(() -> assembly.start(() -> serve(b, assembly)));
         } catch (BadConfig e) {
             throw new IllegalStateException("generated balancer configuration is invalid: " + e.getMessage(), e);
@@ -132,7 +132,7 @@
         net.listen(
                 platform.balancer(b.number),
                 b.process,
-                (link, from) -> assembly.client(faults.wrapClientLink(b.process, link)));
+                (link, from) -> assembly.clientConnected(faults.wrapClientLink(b.process, link)));
         b.up = true;
         watcher.ready(b.number);
     }
--- a/scale/src/main/java/baymoor/scale/hollow/HollowBalancer.java
+++ b/scale/src/main/java/baymoor/scale/hollow/HollowBalancer.java
@@ -194,7 +194,7 @@
             if (sender != null) {
                 traffic.heard(sender, content.length, around.clock().micros());
             }
-            parts.heard(from, content);
+            parts.datagramReceived(from, content);
             noteVersion();
         }
 
@@ -234,7 +234,7 @@
 
         private void admit() {
             if (serves && asked && clients == null) {
-                clients = new DrawnClients(loop, world, "h" + number + "-" + System.nanoTime(), parts::client);
+                clients = new DrawnClients(loop, world, "h" + number + "-" + System.nanoTime(), parts::clientConnected);
                 clients.start();
             }
         }
