--- a/balancer/src/main/java/baymoor/assembly/Assembly.java
+++ b/balancer/src/main/java/baymoor/assembly/Assembly.java
@@ -144,7 +144,7 @@
         ListConfirmation confirmation =
                 listIsPolled ? ListConfirmation.startingAt(time.now(), canAskPeers) : ListConfirmation.notNeeded();
         Consumer<ServerList> onServerList = list -> {
-            dispatcher.listed(list);
+            dispatcher.serverListChanged(list);
             inventory.removeGoneHosts(south::inUse);
             becomeReady();
         };
@@ -186,7 +186,7 @@
     /** Handles a datagram of another balancer: a message of the list exchange here, any other one in the decision module. */
     private void peerMessageReceived(int peer, byte[] content) {
         if (!listExchange.handleDatagram(peer, content)) {
-            dispatcher.heard(peer, content);
+            dispatcher.peerMessageReceived(peer, content);
         }
     }
 
@@ -216,7 +216,7 @@
         startServing = serve;
         if (settings.known() != null) {
             try {
-                dispatcher.listed(inventory.applyConfiguredList(settings.known()));
+                dispatcher.serverListChanged(inventory.applyConfiguredList(settings.known()));
             } catch (JSONException e) {
                 log.accept("config: known is not a valid server list, starting without it: " + e.getMessage());
             }
--- a/balancer/src/main/java/baymoor/dispatch/Dispatcher.java
+++ b/balancer/src/main/java/baymoor/dispatch/Dispatcher.java
@@ -209,13 +209,13 @@
     }
 
     /** Handles a change of the inventory, or a failed call for it. */
-    public void listed(ServerList list) {
+    public void serverListChanged(ServerList list) {
         south.inventoryChanged();
         deliver(list);
     }
 
     /** Handles a message of another balancer. */
-    public void heard(int from, byte[] content) {
+    public void peerMessageReceived(int from, byte[] content) {
         deliver(new PeerMessage(from, content));
     }
 
--- a/balancer/src/main/java/baymoor/serve/WarmUp.java
+++ b/balancer/src/main/java/baymoor/serve/WarmUp.java
@@ -85,13 +85,17 @@
                 MAX_HOST_CONNECTIONS,
                 dispatcher);
         dispatcher.connect(
-                north, south, null, new Peers(List.of(), null, null, (to, content) -> {}, counters, dispatcher::heard));
+                north,
+                south,
+                null,
+                new Peers(List.of(), null, null, (to, content) -> {}, counters, dispatcher::peerMessageReceived));
         String cacheType = decisionSettings.kinds().stream()
                 .filter(k -> !k.equals(origin))
                 .findFirst()
                 .orElse("");
-        thread.post(() -> dispatcher.listed(inventory.applyConfiguredList(new JSONObject("{\"index\":1,\"endpoints\":["
-                + entry("a", cacheType) + "," + entry("b", cacheType) + "," + entry("o", origin) + "]}"))));
+        thread.post(() ->
+                dispatcher.serverListChanged(inventory.applyConfiguredList(new JSONObject("{\"index\":1,\"endpoints\":["
+                        + entry("a", cacheType) + "," + entry("b", cacheType) + "," + entry("o", origin) + "]}"))));
     }
 
     private static String entry(String name, String type) {
--- a/balancer/src/test/java/baymoor/dispatch/DispatcherTest.java
+++ b/balancer/src/test/java/baymoor/dispatch/DispatcherTest.java
@@ -88,7 +88,10 @@
                 9,
                 dispatcher);
         dispatcher.connect(
-                north, south, null, new Peers(List.of(), null, null, (to, bytes) -> {}, counters, dispatcher::heard));
+                north,
+                south,
+                null,
+                new Peers(List.of(), null, null, (to, bytes) -> {}, counters, dispatcher::peerMessageReceived));
         client.events = north.accept(client);
     }
 
