--- a/balancer/src/main/java/baymoor/assembly/Assembly.java
+++ b/balancer/src/main/java/baymoor/assembly/Assembly.java
@@ -172,7 +172,7 @@
                 inventory,
                 confirmation,
                 counters,
-                peers::tell,
+                peers::send,
                 onServerList);
         listExchange.onListConfirmed(() -> {
             discovery.peerConfirmedList();
--- a/balancer/src/main/java/baymoor/dispatch/Dispatcher.java
+++ b/balancer/src/main/java/baymoor/dispatch/Dispatcher.java
@@ -268,7 +268,7 @@
         } else if (action instanceof Cancel a) {
             south.cancel(a.request(), a.attempt());
         } else if (action instanceof TellPeer a) {
-            peers.tell(a.peer(), a.content());
+            peers.send(a.peer(), a.content());
         } else if (action instanceof WatchServers a) {
             discovery.watch(a.on());
         } else if (action instanceof AskServers) {
--- a/balancer/src/main/java/baymoor/peers/Peers.java
+++ b/balancer/src/main/java/baymoor/peers/Peers.java
@@ -61,11 +61,11 @@
      *
      * @param peer the peer's index, or a negative number for all peers
      */
-    public void tell(int peer, byte[] datagram) {
+    public void send(int peer, byte[] datagram) {
         if (peer < 0 && broadcastAddress == null && self != null) {
             for (int i = 0; i < addresses.size(); i++) {
                 if (!addresses.get(i).equals(self)) {
-                    tell(i, datagram);
+                    send(i, datagram);
                 }
             }
             return;
--- a/balancer/src/test/java/baymoor/peers/PeersTest.java
+++ b/balancer/src/test/java/baymoor/peers/PeersTest.java
@@ -26,10 +26,10 @@
                 (to, bytes) -> seen.add("to " + to.getPort()),
                 counters,
                 (from, bytes) -> seen.add("from " + from));
-        peers.tell(1, new byte[256]);
-        peers.tell(-1, new byte[1]);
-        peers.tell(2, new byte[1]);
-        peers.tell(0, new byte[257]);
+        peers.send(1, new byte[256]);
+        peers.send(-1, new byte[1]);
+        peers.send(2, new byte[1]);
+        peers.send(0, new byte[257]);
         peers.received(PEER_1, new byte[256]);
         peers.received(PEER_1, new byte[257]);
         peers.received(BROADCAST, new byte[1]);
