--- a/balancer/src/main/java/baymoor/north/RespClient.java
+++ b/balancer/src/main/java/baymoor/north/RespClient.java
@@ -239,9 +239,9 @@
                     rejectBusy();
                     continue;
                 }
-                execute(((Resp.Many) command)
+                execute(((Resp.Array) command)
                         .items().stream()
-                                .map(argument -> ((Resp.Bulk) argument).bytes())
+                                .map(argument -> ((Resp.BulkString) argument).bytes())
                                 .toList());
             }
         } catch (RespException e) {
--- a/balancer/src/main/java/baymoor/resp/RespReader.java
+++ b/balancer/src/main/java/baymoor/resp/RespReader.java
@@ -98,9 +98,9 @@
             return null;
         }
         return switch (type) {
-            case '+' -> new Resp.Simple(line);
-            case '-' -> new Resp.Failure(line);
-            case ':' -> new Resp.Whole(parseNumber(line, Long.MIN_VALUE, Long.MAX_VALUE));
+            case '+' -> new Resp.SimpleString(line);
+            case '-' -> new Resp.ErrorReply(line);
+            case ':' -> new Resp.IntegerReply(parseNumber(line, Long.MIN_VALUE, Long.MAX_VALUE));
             case '$' -> parseBulk((int) parseNumber(line, commandsOnly ? 0 : -1, MAX_BULK_LENGTH));
             default -> parseArray((int) parseNumber(line, commandsOnly ? 1 : -1, MAX_ARRAY_LENGTH), depth);
         };
@@ -108,7 +108,7 @@
 
     private Resp parseBulk(int length) throws RespException {
         if (length < 0) {
-            return new Resp.Bulk(null);
+            return new Resp.BulkString(null);
         }
         if (end - position < length + 2) {
             return null;
@@ -118,12 +118,12 @@
         }
         byte[] content = Arrays.copyOfRange(buffer, position, position + length);
         position += length + 2;
-        return new Resp.Bulk(content);
+        return new Resp.BulkString(content);
     }
 
     private Resp parseArray(int count, int depth) throws RespException {
         if (count < 0) {
-            return new Resp.Many(null);
+            return new Resp.Array(null);
         }
         if (depth >= MAX_ARRAY_DEPTH) {
             throw new RespException("arrays too deep");
@@ -136,7 +136,7 @@
             }
             items.add(item);
         }
-        return new Resp.Many(items);
+        return new Resp.Array(items);
     }
 
     private String readLine(int maxLength) throws RespException {
--- a/balancer/src/main/java/baymoor/south/RouterCodec.java
+++ b/balancer/src/main/java/baymoor/south/RouterCodec.java
@@ -59,7 +59,7 @@
     }
 
     private Reply toReply(Resp answer, boolean fullyConsumed) {
-        if (answer instanceof Resp.Failure failure) {
+        if (answer instanceof Resp.ErrorReply failure) {
             boolean busy = BUSY_ERROR.matcher(failure.text()).matches();
             boolean known = KNOWN_ERROR.matcher(failure.text()).matches();
             return new Reply(busy ? Outcome.FULL : Outcome.ERROR, null, 0, NO_REPORT, fullyConsumed && known);
@@ -70,11 +70,11 @@
 
     /** Decodes a value or receipt, the cache status and a load report; null if the answer has any other shape. */
     private Reply attemptReply(Resp answer, boolean fullyConsumed) {
-        if (!(answer instanceof Resp.Many many)
+        if (!(answer instanceof Resp.Array many)
                 || many.items() == null
                 || many.items().size() != ANSWER_ITEM_COUNT
-                || !(many.items().get(0) instanceof Resp.Bulk value)
-                || !(many.items().get(1) instanceof Resp.Bulk cacheStatus)) {
+                || !(many.items().get(0) instanceof Resp.BulkString value)
+                || !(many.items().get(1) instanceof Resp.BulkString cacheStatus)) {
             return null;
         }
         int note = cacheStatus.bytes() == null
@@ -86,22 +86,24 @@
                     default -> 0;
                 };
         // A malformed load report does not invalidate the value that came with it.
-        double[] report =
-                many.items().get(2) instanceof Resp.Bulk bulk ? LoadReport.parse(text(bulk), reportFields) : NO_REPORT;
+        double[] report = many.items().get(2) instanceof Resp.BulkString bulk
+                ? LoadReport.parse(text(bulk), reportFields)
+                : NO_REPORT;
         return new Reply(
                 value.bytes() == null ? Outcome.MISS : Outcome.SERVED, value.bytes(), note, report, fullyConsumed);
     }
 
     /** Decodes a load report or the answer to a ping; null if the answer has any other shape. */
     private Reply probeReply(Resp answer, boolean fullyConsumed) {
-        if (answer instanceof Resp.Bulk bulk && bulk.bytes() != null && !reportFields.isEmpty()) {
+        if (answer instanceof Resp.BulkString bulk && bulk.bytes() != null && !reportFields.isEmpty()) {
             return new Reply(Outcome.SERVED, null, 0, LoadReport.parse(text(bulk), reportFields), fullyConsumed);
         }
-        boolean alive = answer instanceof Resp.Simple simple && simple.text().equals("PONG");
+        boolean alive =
+                answer instanceof Resp.SimpleString simple && simple.text().equals("PONG");
         return alive ? new Reply(Outcome.SERVED, null, 0, NO_REPORT, fullyConsumed) : null;
     }
 
-    private static String text(Resp.Bulk bulk) {
+    private static String text(Resp.BulkString bulk) {
         return bulk.bytes() == null ? null : new String(bulk.bytes(), StandardCharsets.UTF_8);
     }
 
--- a/balancer/src/test/java/baymoor/resp/RespReaderTest.java
+++ b/balancer/src/test/java/baymoor/resp/RespReaderTest.java
@@ -31,16 +31,16 @@
     }
 
     private static String format(Resp r) {
-        if (r instanceof Resp.Many m) {
+        if (r instanceof Resp.Array m) {
             return m.items() == null
                     ? "[null]"
                     : m.items().stream().map(RespReaderTest::format).toList().toString();
         }
-        return r instanceof Resp.Bulk b
+        return r instanceof Resp.BulkString b
                 ? b.bytes() == null ? "null" : new String(b.bytes(), StandardCharsets.ISO_8859_1)
-                : r instanceof Resp.Simple s
+                : r instanceof Resp.SimpleString s
                         ? "+" + s.text()
-                        : r instanceof Resp.Failure f ? "-" + f.text() : ":" + ((Resp.Whole) r).number();
+                        : r instanceof Resp.ErrorReply f ? "-" + f.text() : ":" + ((Resp.IntegerReply) r).number();
     }
 
     @Test
--- a/emulator/src/main/java/baymoor/emulator/world/Clients.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Clients.java
@@ -394,11 +394,11 @@
 
         void answered(Resp answer) {
             finish();
-            if (answer instanceof Resp.Bulk bulk && bulk.bytes() != null) {
+            if (answer instanceof Resp.BulkString bulk && bulk.bytes() != null) {
                 judge.answered(id, AnswerKind.SERVED, bulk.bytes());
                 boolean onTime = zone.time.now() - request.arrivedAt <= request.requestClass.aimMicros();
                 request.finish(onTime ? Tally.End.IN_TIME : Tally.End.LATE);
-            } else if (answer instanceof Resp.Failure f && f.text().startsWith("BUSY")) {
+            } else if (answer instanceof Resp.ErrorReply f && f.text().startsWith("BUSY")) {
                 judge.answered(id, AnswerKind.REFUSED, null);
                 String retryAfterMillis = f.text().substring("BUSY".length()).strip();
                 request.attemptFailed(
@@ -523,7 +523,7 @@
         private void unsolicitedAnswer(Resp answer) {
             if (lastAttemptId != null) {
                 judge.answered(
-                        lastAttemptId, answer instanceof Resp.Bulk ? AnswerKind.SERVED : AnswerKind.FAILED, null);
+                        lastAttemptId, answer instanceof Resp.BulkString ? AnswerKind.SERVED : AnswerKind.FAILED, null);
             }
             zone.idleConnections.get(balancer).remove(this);
             closed = true;
--- a/emulator/src/main/java/baymoor/emulator/world/Router.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Router.java
@@ -427,8 +427,10 @@
                 for (Resp command = reader.next();
                         command != null && ownIncarnation == incarnation;
                         command = reader.next()) {
-                    handleCommand(((Resp.Many) command)
-                            .items().stream().map(w -> ((Resp.Bulk) w).bytes()).toList());
+                    handleCommand(((Resp.Array) command)
+                            .items().stream()
+                                    .map(w -> ((Resp.BulkString) w).bytes())
+                                    .toList());
                 }
             } catch (RespException e) {
                 link.close(); // the stream can't be resynchronized
--- a/emulator/src/main/java/baymoor/emulator/world/RouterLoad.java
+++ b/emulator/src/main/java/baymoor/emulator/world/RouterLoad.java
@@ -170,7 +170,7 @@
                 Resp answer = reader.next();
                 if (answer != null) {
                     idleClients.addLast(this);
-                    finish(answer instanceof Resp.Many);
+                    finish(answer instanceof Resp.Array);
                 }
             } catch (RespException e) {
                 link.close();
