--- a/balancer/src/main/java/baymoor/north/RespClient.java
+++ b/balancer/src/main/java/baymoor/north/RespClient.java
@@ -126,7 +126,7 @@
                 && !closing
                 && !readingPaused
                 && !link.hasUnreadBytes()
-                && (!commandReceived || reader.pending());
+                && (!commandReceived || reader.hasPartialInput());
         if (inputStopped || closing
                 ? replies.isEmpty() && now - progressMicros > CLOSE_TIMEOUT_MICROS
                 : unsentWrites > 0 && now - progressMicros > WRITE_TIMEOUT_MICROS) {
@@ -148,7 +148,7 @@
 
     /** Returns whether no reply is pending and no input is unprocessed. */
     boolean isIdle() {
-        return replies.isEmpty() && !reader.pending() && !link.hasUnreadBytes();
+        return replies.isEmpty() && !reader.hasPartialInput() && !link.hasUnreadBytes();
     }
 
     /** Returns whether all replies have been sent and the output is closed. */
@@ -218,7 +218,7 @@
         closing = false; // the input preceded the closing of the output
         north.markBusy(this);
         north.markUsed(this);
-        commandStartMicros = reader.pending() ? commandStartMicros : north.time.now();
+        commandStartMicros = reader.hasPartialInput() ? commandStartMicros : north.time.now();
         receivedMicros = north.time.earliestArrivalMicros();
         reader.feed(bytes);
         processCommands();
--- a/balancer/src/main/java/baymoor/resp/RespReader.java
+++ b/balancer/src/main/java/baymoor/resp/RespReader.java
@@ -36,7 +36,7 @@
     }
 
     /** Returns a parser of replies, which may be values of any type. */
-    public static RespReader ofAnswers() {
+    public static RespReader ofReplies() {
         return new RespReader(false);
     }
 
@@ -78,7 +78,7 @@
     }
 
     /** Returns whether part of the input belongs to no value returned so far. */
-    public boolean pending() {
+    public boolean hasPartialInput() {
         return end > start;
     }
 
--- a/balancer/src/main/java/baymoor/south/RouterCodec.java
+++ b/balancer/src/main/java/baymoor/south/RouterCodec.java
@@ -15,7 +15,7 @@
  */
 final class RouterCodec implements Codec {
 
-    private final RespReader reader = RespReader.ofAnswers();
+    private final RespReader reader = RespReader.ofReplies();
     private static final double[] NO_REPORT = new double[0];
     private static final int ANSWER_ITEM_COUNT = 3;
     private static final Pattern BUSY_ERROR = Pattern.compile("BUSY( [0-9]{1,9})?");
@@ -52,7 +52,7 @@
         reader.feed(bytes);
         try {
             Resp answer = reader.next();
-            return answer == null ? null : toReply(answer, !reader.pending());
+            return answer == null ? null : toReply(answer, !reader.hasPartialInput());
         } catch (RespException e) {
             return Reply.withoutAnswer(Outcome.ERROR);
         }
--- a/balancer/src/test/java/baymoor/resp/RespReaderTest.java
+++ b/balancer/src/test/java/baymoor/resp/RespReaderTest.java
@@ -13,7 +13,7 @@
 
     /** Parses a text fed in chunks and formats the values, with {@code !} for an error. */
     private static String read(String text, boolean commandsOnly, int chunkLength) {
-        RespReader reader = commandsOnly ? RespReader.ofCommands() : RespReader.ofAnswers();
+        RespReader reader = commandsOnly ? RespReader.ofCommands() : RespReader.ofReplies();
         byte[] bytes = text.getBytes(StandardCharsets.ISO_8859_1);
         List<String> parsed = new ArrayList<>();
         for (int offset = 0; offset < bytes.length; offset += chunkLength) {
@@ -86,7 +86,7 @@
 
     @Test
     public void overlongLineIsRejected() throws RespException {
-        RespReader reader = RespReader.ofAnswers();
+        RespReader reader = RespReader.ofReplies();
         reader.feed(("+" + "x".repeat(1000)).getBytes(StandardCharsets.US_ASCII));
         assertNull(reader.next());
         reader.feed("x".repeat(100).getBytes(StandardCharsets.US_ASCII));
--- a/emulator/src/main/java/baymoor/emulator/world/Clients.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Clients.java
@@ -463,7 +463,7 @@
     private final class Connection implements LinkEvents {
         private final Zone zone;
         private final int balancer;
-        private final RespReader reader = RespReader.ofAnswers();
+        private final RespReader reader = RespReader.ofReplies();
         private Link link;
         private ClientAttempt currentAttempt;
         private boolean answered;
--- a/emulator/src/main/java/baymoor/emulator/world/RouterLoad.java
+++ b/emulator/src/main/java/baymoor/emulator/world/RouterLoad.java
@@ -136,7 +136,7 @@
 
     /** A client connection with at most one open request. */
     private final class LoadClient implements LinkEvents {
-        private final RespReader reader = RespReader.ofAnswers();
+        private final RespReader reader = RespReader.ofReplies();
         private Link link;
         private byte[] command;
         private long arrivedAt;
