--- a/balancer/src/main/java/baymoor/north/RespClient.java
+++ b/balancer/src/main/java/baymoor/north/RespClient.java
@@ -268,7 +268,7 @@
             case "OBJ.GET" -> handleRequest(arguments, GET_ARITY);
             case "OBJ.SET" -> handleRequest(arguments, SET_ARITY);
             case "PING" -> reply(arguments.size() > 1 ? RespWriter.bulk(arguments.get(1)) : RespWriter.simple("PONG"));
-            case "INFO" -> reply(RespWriter.bulk(RespWriter.ascii(north.counterReport.get())));
+            case "INFO" -> reply(RespWriter.bulk(RespWriter.utf8(north.counterReport.get())));
             case "CLIENT", "SELECT" -> reply(RespWriter.simple("OK"));
             default -> {
                 boolean echoed =
--- a/balancer/src/main/java/baymoor/resp/RespWriter.java
+++ b/balancer/src/main/java/baymoor/resp/RespWriter.java
@@ -13,7 +13,7 @@
     /** Encodes a command, as an array of bulk strings. */
     public static byte[] command(byte[]... arguments) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        out.writeBytes(ascii("*" + arguments.length + "\r\n"));
+        out.writeBytes(utf8("*" + arguments.length + "\r\n"));
         for (byte[] argument : arguments) {
             out.writeBytes(bulk(argument));
         }
@@ -22,7 +22,7 @@
 
     /** Encodes a bulk string. */
     public static byte[] bulk(byte[] content) {
-        byte[] header = ascii("$" + content.length + "\r\n");
+        byte[] header = utf8("$" + content.length + "\r\n");
         byte[] encoded = new byte[header.length + content.length + CRLF.length];
         System.arraycopy(header, 0, encoded, 0, header.length);
         System.arraycopy(content, 0, encoded, header.length, content.length);
@@ -41,16 +41,16 @@
 
     /** Encodes a simple string; line breaks in it become spaces. */
     public static byte[] simple(String text) {
-        return ascii("+" + replaceLineBreaks(text) + "\r\n");
+        return utf8("+" + replaceLineBreaks(text) + "\r\n");
     }
 
     /** Encodes an error; line breaks in it become spaces. */
     public static byte[] error(String text) {
-        return ascii("-" + replaceLineBreaks(text) + "\r\n");
+        return utf8("-" + replaceLineBreaks(text) + "\r\n");
     }
 
     /** Returns the UTF-8 bytes of a text, for use as an argument or a bulk string. */
-    public static byte[] ascii(String text) {
+    public static byte[] utf8(String text) {
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
--- a/balancer/src/main/java/baymoor/serve/WarmUp.java
+++ b/balancer/src/main/java/baymoor/serve/WarmUp.java
@@ -37,9 +37,9 @@
     private static final int VARIANT_INTERVAL = 32;
 
     private static final long TIMEOUT_MILLIS = 1_000;
-    private static final byte[] HIT_RESPONSE = RespWriter.ascii("*3\r\n$5\r\nvalue\r\n$3\r\nhit\r\n$-1\r\n");
-    private static final byte[] MISS_RESPONSE = RespWriter.ascii("*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n");
-    private static final byte[] ORIGIN_RESPONSE = RespWriter.ascii("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nvalue");
+    private static final byte[] HIT_RESPONSE = RespWriter.utf8("*3\r\n$5\r\nvalue\r\n$3\r\nhit\r\n$-1\r\n");
+    private static final byte[] MISS_RESPONSE = RespWriter.utf8("*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n");
+    private static final byte[] ORIGIN_RESPONSE = RespWriter.utf8("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nvalue");
 
     private final DecisionThread thread = new DecisionThread(new Counters(), line -> {});
     private final CountDownLatch remainingRequests;
@@ -152,7 +152,7 @@
         link[0] = net.dial(address, new LinkEvents() {
             @Override
             public void opened() {
-                link[0].write(RespWriter.command(RespWriter.ascii("PING")));
+                link[0].write(RespWriter.command(RespWriter.utf8("PING")));
             }
 
             @Override
@@ -238,10 +238,10 @@
                     .classes()
                     .get(variant < decisionSettings.classes().size() ? variant : 0);
             boolean write = requestClass.effect() != Decisions.Effect.SAFE;
-            byte[] name = RespWriter.ascii(write ? "OBJ.SET" : "OBJ.GET");
-            byte[] key = RespWriter.ascii(Integer.toHexString(requestsSent % 100));
-            byte[] id = RespWriter.ascii("rehearsal-" + requestsSent);
-            byte[] facts = RespWriter.ascii(
+            byte[] name = RespWriter.utf8(write ? "OBJ.SET" : "OBJ.GET");
+            byte[] key = RespWriter.utf8(Integer.toHexString(requestsSent % 100));
+            byte[] id = RespWriter.utf8("rehearsal-" + requestsSent);
+            byte[] facts = RespWriter.utf8(
                     "c=" + requestClass.name() + ",t=rehearsal,d=" + TIMEOUT_MILLIS + ",h=100,size=2.5");
             byte[] command = write
                     ? RespWriter.command(name, key, id, facts, "value".getBytes(StandardCharsets.US_ASCII))
--- a/balancer/src/main/java/baymoor/south/RouterCodec.java
+++ b/balancer/src/main/java/baymoor/south/RouterCodec.java
@@ -31,20 +31,20 @@
     @Override
     public byte[] request(RequestContent content, long waitMillis) {
         probing = false;
-        byte[] key = RespWriter.ascii(content.key());
-        byte[] id = RespWriter.ascii(content.id());
-        byte[] facts = RespWriter.ascii(content.encodeFacts(waitMillis));
+        byte[] key = RespWriter.utf8(content.key());
+        byte[] id = RespWriter.utf8(content.id());
+        byte[] facts = RespWriter.utf8(content.encodeFacts(waitMillis));
         return content.value() == null
-                ? RespWriter.command(RespWriter.ascii("OBJ.GET"), key, id, facts)
-                : RespWriter.command(RespWriter.ascii("OBJ.SET"), key, id, facts, content.value());
+                ? RespWriter.command(RespWriter.utf8("OBJ.GET"), key, id, facts)
+                : RespWriter.command(RespWriter.utf8("OBJ.SET"), key, id, facts, content.value());
     }
 
     @Override
     public byte[] probe() {
         probing = true;
         return reportFields.isEmpty()
-                ? RespWriter.command(RespWriter.ascii("PING"))
-                : RespWriter.command(RespWriter.ascii("INFO"), RespWriter.ascii("load"));
+                ? RespWriter.command(RespWriter.utf8("PING"))
+                : RespWriter.command(RespWriter.utf8("INFO"), RespWriter.utf8("load"));
     }
 
     @Override
--- a/balancer/src/test/java/baymoor/assembly/EveryFieldTest.java
+++ b/balancer/src/test/java/baymoor/assembly/EveryFieldTest.java
@@ -133,10 +133,10 @@
             client.events = events;
             events.opened();
             events.received(RespWriter.command(
-                    RespWriter.ascii("OBJ.GET"),
-                    RespWriter.ascii("0a"),
-                    RespWriter.ascii(REQUEST_ID),
-                    RespWriter.ascii("c=path-lookup,t=nordgods,d=800")));
+                    RespWriter.utf8("OBJ.GET"),
+                    RespWriter.utf8("0a"),
+                    RespWriter.utf8(REQUEST_ID),
+                    RespWriter.utf8("c=path-lookup,t=nordgods,d=800")));
             for (int i = 0; i < 40; i++) {
                 time.pass(50_000);
             }
--- a/emulator/src/main/java/baymoor/emulator/sockets/ReadinessProbe.java
+++ b/emulator/src/main/java/baymoor/emulator/sockets/ReadinessProbe.java
@@ -41,7 +41,7 @@
 
     @Override
     public void opened() {
-        link.write(RespWriter.command(RespWriter.ascii("PING")));
+        link.write(RespWriter.command(RespWriter.utf8("PING")));
     }
 
     @Override
--- a/emulator/src/main/java/baymoor/emulator/world/Clients.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Clients.java
@@ -356,16 +356,16 @@
             if (scenario.moduleSettings().sizes()) {
                 attributes.append(",size=").append(request.profile.size());
             }
-            byte[] key = RespWriter.ascii(Catalogue.name(request.key));
-            byte[] attributeList = RespWriter.ascii(attributes.toString());
+            byte[] key = RespWriter.utf8(Catalogue.name(request.key));
+            byte[] attributeList = RespWriter.utf8(attributes.toString());
             return requestClass.write()
                     ? RespWriter.command(
-                            RespWriter.ascii("OBJ.SET"),
+                            RespWriter.utf8("OBJ.SET"),
                             key,
-                            RespWriter.ascii(id),
+                            RespWriter.utf8(id),
                             attributeList,
                             Values.value(Catalogue.name(request.key), id, request.profile.size()))
-                    : RespWriter.command(RespWriter.ascii("OBJ.GET"), key, RespWriter.ascii(id), attributeList);
+                    : RespWriter.command(RespWriter.utf8("OBJ.GET"), key, RespWriter.utf8(id), attributeList);
         }
 
         void write(Link link, int balancer) {
--- a/emulator/src/main/java/baymoor/emulator/world/Router.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Router.java
@@ -54,7 +54,7 @@
 
     private static final byte[] BUSY = RespWriter.error("BUSY");
     private static final byte[] FAILED = RespWriter.error("ERR failed");
-    private static final byte[] NULL_BULK = RespWriter.ascii("$-1\r\n");
+    private static final byte[] NULL_BULK = RespWriter.utf8("$-1\r\n");
 
     /** The lifecycle state of a router. */
     public enum State {
@@ -459,7 +459,7 @@
                     answer(
                             pendingAnswer,
                             reportsEnabled
-                                    ? RespWriter.bulk(RespWriter.ascii(gauge.report(time.now(), server)))
+                                    ? RespWriter.bulk(RespWriter.utf8(gauge.report(time.now(), server)))
                                     : RespWriter.error("NOPERM"));
                 }
                 case "OBJ.GET", "OBJ.SET" -> answer(pendingAnswer, RespWriter.error("SYNTAX"));
@@ -652,12 +652,12 @@
 
         private byte[] answer(byte[] value, String cacheStatus) {
             ByteArrayOutputStream out = new ByteArrayOutputStream(value.length + 96);
-            out.writeBytes(RespWriter.ascii("*3\r\n"));
+            out.writeBytes(RespWriter.utf8("*3\r\n"));
             out.writeBytes(value);
-            out.writeBytes(RespWriter.bulk(RespWriter.ascii(cacheStatus)));
+            out.writeBytes(RespWriter.bulk(RespWriter.utf8(cacheStatus)));
             out.writeBytes(
                     figures.reports() == Scenario.Reports.INLINE
-                            ? RespWriter.bulk(RespWriter.ascii(gauge.report(time.now(), server)))
+                            ? RespWriter.bulk(RespWriter.utf8(gauge.report(time.now(), server)))
                             : NULL_BULK);
             return out.toByteArray();
         }
--- a/emulator/src/main/java/baymoor/emulator/world/RouterLoad.java
+++ b/emulator/src/main/java/baymoor/emulator/world/RouterLoad.java
@@ -146,10 +146,10 @@
             arrivedAt = nextArrivalAt;
             RequestClass requestClass = scenario.classes().get(0);
             command = RespWriter.command(
-                    RespWriter.ascii("OBJ.GET"),
-                    RespWriter.ascii(Catalogue.name(key)),
-                    RespWriter.ascii(id),
-                    RespWriter.ascii("c=" + requestClass.name() + ",t=load,d=" + requestClass.giveUpMicros() / 1000));
+                    RespWriter.utf8("OBJ.GET"),
+                    RespWriter.utf8(Catalogue.name(key)),
+                    RespWriter.utf8(id),
+                    RespWriter.utf8("c=" + requestClass.name() + ",t=load,d=" + requestClass.giveUpMicros() / 1000));
             if (link == null) {
                 link = platform.clients(0).dial(platform.address(0, 0), this);
             } else {
--- a/scale/src/main/java/baymoor/scale/hollow/DrawnClients.java
+++ b/scale/src/main/java/baymoor/scale/hollow/DrawnClients.java
@@ -65,14 +65,14 @@
 
     private byte[] command() {
         Assignment.RequestKind kind = world.nextKind();
-        byte[] key = RespWriter.ascii(Long.toHexString(0x9e3779b97f4a7c15L * (world.nextKey() + 1)));
-        byte[] id = RespWriter.ascii(name + "-" + ++asked);
-        byte[] facts = RespWriter.ascii("c=" + kind.name() + ",t=" + world.tenant() + ",d="
+        byte[] key = RespWriter.utf8(Long.toHexString(0x9e3779b97f4a7c15L * (world.nextKey() + 1)));
+        byte[] id = RespWriter.utf8(name + "-" + ++asked);
+        byte[] facts = RespWriter.utf8("c=" + kind.name() + ",t=" + world.tenant() + ",d="
                 + kind.deadlineMicros() / 1000 + ",h=" + kind.workMicros() + ",size=" + world.valueBytes());
         return kind.write()
                 ? RespWriter.command(
-                        RespWriter.ascii("OBJ.SET"), key, id, facts, RespWriter.ascii("v".repeat(world.valueBytes())))
-                : RespWriter.command(RespWriter.ascii("OBJ.GET"), key, id, facts);
+                        RespWriter.utf8("OBJ.SET"), key, id, facts, RespWriter.utf8("v".repeat(world.valueBytes())))
+                : RespWriter.command(RespWriter.utf8("OBJ.GET"), key, id, facts);
     }
 
     private final class Connection implements Link {
--- a/scale/src/main/java/baymoor/scale/hollow/DrawnHost.java
+++ b/scale/src/main/java/baymoor/scale/hollow/DrawnHost.java
@@ -12,8 +12,8 @@
 final class DrawnHost implements Link {
 
     private static final long CONNECT_MICROS = 500;
-    private static final byte[] PONG = RespWriter.ascii("+PONG\r\n");
-    private static final byte[] MISS = RespWriter.ascii("*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n");
+    private static final byte[] PONG = RespWriter.utf8("+PONG\r\n");
+    private static final byte[] MISS = RespWriter.utf8("*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n");
 
     private final DecisionLoop loop;
     private final DrawnWorld world;
@@ -35,12 +35,12 @@
 
     /** The answer of a router that holds the key, with a value of so many bytes. */
     static byte[] hit(int valueBytes) {
-        return RespWriter.ascii("*3\r\n$" + valueBytes + "\r\n" + "v".repeat(valueBytes) + "\r\n$3\r\nhit\r\n$-1\r\n");
+        return RespWriter.utf8("*3\r\n$" + valueBytes + "\r\n" + "v".repeat(valueBytes) + "\r\n$3\r\nhit\r\n$-1\r\n");
     }
 
     /** The answer of the origin, with a value of so many bytes. */
     static byte[] fetched(int valueBytes) {
-        return RespWriter.ascii(
+        return RespWriter.utf8(
                 "HTTP/1.1 200 OK\r\nContent-Length: " + valueBytes + "\r\n\r\n" + "v".repeat(valueBytes));
     }
 
--- a/scale/src/main/java/baymoor/scale/real/Query.java
+++ b/scale/src/main/java/baymoor/scale/real/Query.java
@@ -21,7 +21,7 @@
     private String answer;
 
     private Query(String command, Consumer<String> answered) {
-        this.command = RespWriter.command(RespWriter.ascii(command));
+        this.command = RespWriter.command(RespWriter.utf8(command));
         this.answered = answered;
     }
 
