--- a/balancer/src/main/java/baymoor/http/ResponseReader.java
+++ b/balancer/src/main/java/baymoor/http/ResponseReader.java
@@ -89,32 +89,32 @@
     }
 
     /** Handles the end of the connection's input, which completes a response without a stated length. */
-    public void end() {
+    public void endOfInput() {
         if (state == State.BODY_UNTIL_CLOSE) {
             state = State.DONE;
         }
     }
 
     /** Returns whether the status line and all headers have been read. */
-    public boolean headed() {
+    public boolean headersComplete() {
         return state.ordinal() > State.HEADERS.ordinal();
     }
 
     /** Returns whether the response is complete. */
-    public boolean whole() {
+    public boolean isComplete() {
         return state == State.DONE;
     }
 
     /** Returns whether the connection may carry another request after this response. */
     public boolean reusable() {
-        return whole()
+        return isComplete()
                 && !"close".equalsIgnoreCase(header("connection"))
                 && status >= MIN_FINAL_STATUS
-                && (sized() || status == STATUS_NO_CONTENT || status == STATUS_NOT_MODIFIED);
+                && (hasDelimitedBody() || status == STATUS_NO_CONTENT || status == STATUS_NOT_MODIFIED);
     }
 
     /** Returns whether the headers delimit the body, so that it does not extend to the end of the connection. */
-    public boolean sized() {
+    public boolean hasDelimitedBody() {
         return headers.containsKey("content-length") || headers.containsKey("transfer-encoding");
     }
 
--- a/balancer/src/main/java/baymoor/inventory/Discovery.java
+++ b/balancer/src/main/java/baymoor/inventory/Discovery.java
@@ -372,11 +372,11 @@
             }
             try {
                 reader.feed(bytes);
-                if (reader.headed() && reader.status() != HTTP_OK) {
+                if (reader.headersComplete() && reader.status() != HTTP_OK) {
                     fail();
                     return;
                 }
-                if (isWatch && reader.headed() && !established) {
+                if (isWatch && reader.headersComplete() && !established) {
                     established = true;
                     onHeartbeat();
                     handleWatchEstablished(this);
@@ -387,7 +387,7 @@
                 } else {
                     body.writeBytes(bodyBytes);
                 }
-                if (reader.whole()) {
+                if (reader.isComplete()) {
                     handleResponseEnd();
                 }
             } catch (HttpException e) {
@@ -486,8 +486,8 @@
         @Override
         public void closed() {
             if (!closed) {
-                reader.end();
-                if (!isWatch && reader.whole()) {
+                reader.endOfInput();
+                if (!isWatch && reader.isComplete()) {
                     handleResponseEnd();
                 } else {
                     fail();
--- a/balancer/src/main/java/baymoor/south/OriginCodec.java
+++ b/balancer/src/main/java/baymoor/south/OriginCodec.java
@@ -44,7 +44,7 @@
     public Reply feed(byte[] bytes) {
         try {
             int consumed = reader.feed(bytes);
-            return reader.whole() ? reply(consumed == bytes.length) : null;
+            return reader.isComplete() ? reply(consumed == bytes.length) : null;
         } catch (HttpException e) {
             return Reply.withoutAnswer(Outcome.ERROR);
         }
@@ -52,8 +52,8 @@
 
     @Override
     public Reply end() {
-        reader.end();
-        return reader.whole() ? reply(false) : null;
+        reader.endOfInput();
+        return reader.isComplete() ? reply(false) : null;
     }
 
     private Reply reply(boolean fullyConsumed) {
@@ -63,7 +63,7 @@
                 && (response.status() == SERVICE_UNAVAILABLE || response.status() == GATEWAY_TIMEOUT);
         // Without that header the origin may have run the request, as with a 500.
         // A 200 without a length can't be distinguished from a truncated one.
-        Outcome outcome = response.status() == OK && response.sized()
+        Outcome outcome = response.status() == OK && response.hasDelimitedBody()
                 ? Outcome.SERVED
                 : unprocessed ? Outcome.FULL : Outcome.ERROR;
         byte[] value = response.takeBody();
--- a/balancer/src/test/java/baymoor/http/ResponseReaderTest.java
+++ b/balancer/src/test/java/baymoor/http/ResponseReaderTest.java
@@ -23,9 +23,9 @@
         } catch (HttpException e) {
             return "!";
         }
-        String incomplete = reader.whole() ? "" : " incomplete";
-        reader.end();
-        String outcome = reader.whole() ? reader.reusable() ? " reusable" : " close" : " truncated";
+        String incomplete = reader.isComplete() ? "" : " incomplete";
+        reader.endOfInput();
+        String outcome = reader.isComplete() ? reader.reusable() ? " reusable" : " close" : " truncated";
         String body = new String(reader.takeBody(), StandardCharsets.ISO_8859_1);
         return reader.status() + " " + body + incomplete + outcome
                 + (consumed < bytes.length ? " +" + (bytes.length - consumed) : "");
@@ -66,11 +66,11 @@
         ResponseReader reader = new ResponseReader(10);
         reader.feed("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n6\r\n{\"a\":1"
                 .getBytes(StandardCharsets.US_ASCII));
-        assertTrue(reader.headed());
+        assertTrue(reader.headersComplete());
         assertEquals(6, reader.takeBody().length);
         reader.feed("\r\n9\r\n12345678\n".getBytes(StandardCharsets.US_ASCII));
         assertEquals(9, reader.takeBody().length);
-        assertFalse(reader.whole());
+        assertFalse(reader.isComplete());
     }
 
     @Test
