--- a/balancer/src/main/java/baymoor/http/RequestWriter.java
+++ b/balancer/src/main/java/baymoor/http/RequestWriter.java
@@ -39,7 +39,7 @@
     }
 
     /** Percent-encodes a path segment; only unreserved characters stay as they are. */
-    public static String segment(String text) {
+    public static String encodePathSegment(String text) {
         StringBuilder out = new StringBuilder();
         for (byte b : text.getBytes(StandardCharsets.UTF_8)) {
             boolean unreserved =
--- a/balancer/src/main/java/baymoor/south/OriginCodec.java
+++ b/balancer/src/main/java/baymoor/south/OriginCodec.java
@@ -31,7 +31,7 @@
         Map<String, String> headers = new LinkedHashMap<>();
         headers.put("X-Correlation-Id", content.id());
         headers.put("X-Facts", content.encodeFacts(waitMillis));
-        String target = "/" + RequestWriter.segment(content.key());
+        String target = "/" + RequestWriter.encodePathSegment(content.key());
         return RequestWriter.request(content.value() == null ? "GET" : "PUT", target, host, headers, content.value());
     }
 
--- a/balancer/src/test/java/baymoor/http/ResponseReaderTest.java
+++ b/balancer/src/test/java/baymoor/http/ResponseReaderTest.java
@@ -76,7 +76,8 @@
     @Test
     public void requestIsEncodedWithEscapedPathAndContentLength() {
         byte[] put = RequestWriter.request(
-                "PUT", "/" + RequestWriter.segment("a b/\u00e9"), "h:1", Map.of("X-A", "b"), new byte[] {'v'});
+                "PUT", "/" + RequestWriter.encodePathSegment("a b/\u00e9"), "h:1", Map.of("X-A", "b"), new byte[] {'v'
+                });
         assertEquals(
                 "PUT /a%20b%2F%C3%A9 HTTP/1.1\r\nHost: h:1\r\nX-A: b\r\nContent-Length: 1\r\n\r\nv",
                 new String(put, StandardCharsets.US_ASCII));
