--- a/balancer/src/main/java/baymoor/net/DecisionThread.java
+++ b/balancer/src/main/java/baymoor/net/DecisionThread.java
@@ -10,7 +10,7 @@
 /**
  * A single-threaded event loop that owns all state of a balancer: it runs posted tasks and due timers one after another.
  *
- * <p>{@link #post}, {@link #read} and {@link #stop} may be called from any thread; the methods of {@link Time} only from
+ * <p>{@link #post}, {@link #clockMicros} and {@link #stop} may be called from any thread; the methods of {@link Time} only from
  * tasks that this thread runs.
  */
 public final class DecisionThread implements Time, Runnable {
@@ -79,7 +79,7 @@
 
     /** Queues a task for the decision thread. May be called from any thread. */
     public void post(Runnable task) {
-        PostedTask postedTask = new PostedTask(read(), task);
+        PostedTask postedTask = new PostedTask(clockMicros(), task);
         synchronized (posted) {
             posted.add(postedTask);
             posted.notify();
@@ -105,7 +105,7 @@
     }
 
     /** Reads the clock, in microseconds. May be called from any thread. */
-    public long read() {
+    public long clockMicros() {
         return CLOCK_START_MICROS + (System.nanoTime() - startNanos) / 1000;
     }
 
@@ -118,7 +118,7 @@
     @Override
     public void run() {
         while (!stopped) {
-            nowMicros = read();
+            nowMicros = clockMicros();
             pauseDetector.recordWakeUp(expectedWakeMicros, nowMicros);
             expectedWakeMicros = nowMicros;
             earliestArrivalMicros = nowMicros;
--- a/balancer/src/main/java/baymoor/serve/Balancer.java
+++ b/balancer/src/main/java/baymoor/serve/Balancer.java
@@ -36,7 +36,7 @@
         Counters counters = new Counters();
         decisionThread = new DecisionThread(counters, log);
         net = new MinaNet(decisionThread, Assembly.maxAcceptedConnections(settings));
-        long clockOffsetMicros = decisionThread.read() - System.currentTimeMillis() * 1000;
+        long clockOffsetMicros = decisionThread.clockMicros() - System.currentTimeMillis() * 1000;
         assembly = new Assembly(
                 settings,
                 new Assembly.Environment(
--- a/balancer/src/test/java/baymoor/net/DecisionThreadTest.java
+++ b/balancer/src/test/java/baymoor/net/DecisionThreadTest.java
@@ -50,11 +50,11 @@
         thread.post(() -> {
             thread.post(() -> executed.add("answer"));
             // The time since the task began, which may be long on a busy machine.
-            long pauseMicros = thread.read() - thread.now();
+            long pauseMicros = thread.clockMicros() - thread.now();
             thread.schedule(pauseMicros + 20_000, () -> executed.add("timer"));
             thread.schedule(pauseMicros + 20_000, finished::countDown);
             thread.schedule(0, () -> executed.add("follow-up"));
-            while (thread.read() < thread.now() + pauseMicros + 30_000) {
+            while (thread.clockMicros() < thread.now() + pauseMicros + 30_000) {
                 Thread.onSpinWait();
             }
         });
--- a/emulator/src/main/java/baymoor/emulator/sockets/SocketPlatform.java
+++ b/emulator/src/main/java/baymoor/emulator/sockets/SocketPlatform.java
@@ -52,7 +52,7 @@
         fabric = new Fabric(scenario.net(), zones, thread, streams.of("fabric"));
         processOctet = (int) (ProcessHandle.current().pid() % 250) + 1;
         port = freePort();
-        unixOffsetMillis = System.currentTimeMillis() - thread.read() / 1000;
+        unixOffsetMillis = System.currentTimeMillis() - thread.clockMicros() / 1000;
     }
 
     /** Starts forwarding datagrams between balancers if the scenario enables peers. */
--- a/emulator/src/main/java/baymoor/emulator/sockets/SocketRun.java
+++ b/emulator/src/main/java/baymoor/emulator/sockets/SocketRun.java
@@ -112,7 +112,7 @@
         if (failure != null) {
             throw new IOException(failure);
         }
-        double seconds = (thread.read() - startedAt) / 1e6;
+        double seconds = (thread.clockMicros() - startedAt) / 1e6;
         return new Result(
                 new Summary(scenario.name(), "sockets", options.seed(), "", seconds, seconds, 0, tally, judge.counts()),
                 List.copyOf(broken),
--- a/emulator/src/main/java/baymoor/emulator/sockets/StandIns.java
+++ b/emulator/src/main/java/baymoor/emulator/sockets/StandIns.java
@@ -137,7 +137,7 @@
 
     /** Returns the results of the load so far. */
     public Summary summary() {
-        double seconds = startedAt == 0 ? 0 : (thread.read() - startedAt) / 1e6;
+        double seconds = startedAt == 0 ? 0 : (thread.clockMicros() - startedAt) / 1e6;
         return new Summary(scenario.name(), "sockets", seed, "", seconds, seconds, 0, tally, judge.counts());
     }
 
