--- a/balancer/src/main/java/baymoor/assembly/Assembly.java
+++ b/balancer/src/main/java/baymoor/assembly/Assembly.java
@@ -99,7 +99,7 @@
         time = environment.time();
         log = environment.log();
         counters = environment.counters();
-        Decisions.Settings decisionSettings = settings.module();
+        Decisions.Settings decisionSettings = settings.decisionSettings();
         dispatcher = new Dispatcher(
                 Decisions.start(decisionSettings),
                 decisionSettings.limits(),
@@ -191,7 +191,7 @@
     }
 
     private static int maxConnectionsPerSide(Settings settings) {
-        return (settings.sockets() - RESERVED_DESCRIPTORS) / 2;
+        return (settings.maxSockets() - RESERVED_DESCRIPTORS) / 2;
     }
 
     /** Returns the limit of open client connections, including those that are being evicted. */
@@ -214,15 +214,15 @@
      */
     public void start(Runnable serve) {
         startServing = serve;
-        if (settings.known() != null) {
+        if (settings.initialList() != null) {
             try {
-                dispatcher.serverListChanged(inventory.applyConfiguredList(settings.known()));
+                dispatcher.serverListChanged(inventory.applyConfiguredList(settings.initialList()));
             } catch (JSONException e) {
                 log.accept("config: known is not a valid server list, starting without it: " + e.getMessage());
             }
         }
-        if (settings.module().membership() == Decisions.Membership.PUSH) {
-            discovery.watchContinuously(settings.module().rules().drainGraceMicros());
+        if (settings.decisionSettings().membership() == Decisions.Membership.PUSH) {
+            discovery.watchContinuously(settings.decisionSettings().rules().drainGraceMicros());
             time.schedule(FIRST_LIST_TIMEOUT_MICROS, this::becomeReady);
         } else if (canAskPeers) {
             listExchange.startQuerying();
@@ -268,7 +268,7 @@
         log.accept("config: reloaded, discovery at " + newSettings.discovery());
         boolean reloadable = newSettings.name().equals(settings.name())
                 && newSettings.listen().equals(settings.listen())
-                && newSettings.sockets() == settings.sockets()
+                && newSettings.maxSockets() == settings.maxSockets()
                 && newSettings.peers().equals(settings.peers())
                 && Objects.equals(newSettings.peerListen(), settings.peerListen())
                 && Objects.equals(newSettings.peersAll(), settings.peersAll());
@@ -280,7 +280,7 @@
 
     /** Returns how long after the call of {@link #drain} what is still open fails, in microseconds. */
     public long maxDrainMicros() {
-        long longestDeadlineMicros = settings.module().classes().stream()
+        long longestDeadlineMicros = settings.decisionSettings().classes().stream()
                 .mapToLong(Decisions.RequestClass::deadlineMicros)
                 .max()
                 .orElse(0);
--- a/balancer/src/main/java/baymoor/serve/Balancer.java
+++ b/balancer/src/main/java/baymoor/serve/Balancer.java
@@ -51,7 +51,8 @@
 
     /** Returns once the balancer listens, or once it has been drained before that. */
     void start() throws IOException, InterruptedException {
-        if (settings.peerListen() != null && settings.module().limits().mayTellPeers()) {
+        if (settings.peerListen() != null
+                && settings.decisionSettings().limits().mayTellPeers()) {
             net.listenToPeers(settings.peerListen(), assembly::datagramReceived);
         }
         decisionThread.post(() -> assembly.start(readyToListen::countDown));
--- a/balancer/src/main/java/baymoor/serve/Main.java
+++ b/balancer/src/main/java/baymoor/serve/Main.java
@@ -42,7 +42,7 @@
                 new Log(new PrintStream(OutputStream.nullOutputStream()), Clock.systemUTC(), "", false).accept("a: b");
                 System.exit(0);
             }
-            WarmUp.run(settings.module(), WARM_UP_REQUESTS);
+            WarmUp.run(settings.decisionSettings(), WARM_UP_REQUESTS);
             // Registered before listening: a SIGTERM in between would leave accepted requests unanswered.
             if (addShutdownHook(balancer::drain)) {
                 balancer.start();
--- a/balancer/src/main/java/baymoor/serve/WarmUp.java
+++ b/balancer/src/main/java/baymoor/serve/WarmUp.java
@@ -139,8 +139,8 @@
      * holds the classes of the network too.
      */
     static void runWithSockets(Settings settings, int requests) throws IOException {
-        run(settings.module(), requests);
-        WarmUp socketWarmUp = new WarmUp(settings.module(), 1);
+        run(settings.decisionSettings(), requests);
+        WarmUp socketWarmUp = new WarmUp(settings.decisionSettings(), 1);
         new Thread(socketWarmUp.thread, "rehearsal").start();
         MinaNet net = new MinaNet(socketWarmUp.thread);
         InetSocketAddress anyPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
--- a/balancer/src/test/java/baymoor/serve/WarmUpTest.java
+++ b/balancer/src/test/java/baymoor/serve/WarmUpTest.java
@@ -20,7 +20,7 @@
     @Test
     public void everyWarmUpRequestIsAnswered() throws Exception {
         String config = Files.readString(Path.of("deploy/rehearsal.json"));
-        assertTrue(WarmUp.run(Config.parse(config, Map.of()).module(), 100));
+        assertTrue(WarmUp.run(Config.parse(config, Map.of()).decisionSettings(), 100));
     }
 
     @Test
--- a/cli/src/main/java/baymoor/cli/Check.java
+++ b/cli/src/main/java/baymoor/cli/Check.java
@@ -36,10 +36,10 @@
                             "%s: good: balancer %s of %d at %s, %d classes, %d tenants, discovery at %s%n",
                             file,
                             s.name(),
-                            s.module().balancers(),
+                            s.decisionSettings().balancers(),
                             text(s.listen()),
-                            s.module().classes().size(),
-                            s.module().tenants().size(),
+                            s.decisionSettings().classes().size(),
+                            s.decisionSettings().tenants().size(),
                             text(s.discovery()));
             return 0;
         } catch (BadConfig e) {
