--- a/balancer/src/main/java/baymoor/config/Config.java
+++ b/balancer/src/main/java/baymoor/config/Config.java
@@ -64,31 +64,31 @@
      * Reads the file named by {@code ROUTER_CONFIG}; {@code ROUTER_NAME}, {@code ROUTER_LISTEN} and {@code ROUTER_DISCOVERY}
      * are the defaults of its fields.
      *
-     * @throws BadConfig if the file can't be read, or a field is missing or invalid
+     * @throws ConfigException if the file can't be read, or a field is missing or invalid
      */
-    public static Settings read(Map<String, String> environment) throws BadConfig {
+    public static Settings read(Map<String, String> environment) throws ConfigException {
         String file = environment.get("ROUTER_CONFIG");
         if (file == null) {
-            throw new BadConfig("config: ROUTER_CONFIG is not set");
+            throw new ConfigException("config: ROUTER_CONFIG is not set");
         }
         try {
             return parse(Files.readString(Path.of(file)), environment);
         } catch (IOException | InvalidPathException e) {
-            throw new BadConfig("config: ROUTER_CONFIG can't be read: " + file);
+            throw new ConfigException("config: ROUTER_CONFIG can't be read: " + file);
         }
     }
 
     /**
      * Parses the text of a configuration file.
      *
-     * @throws BadConfig if the text isn't JSON, or a field is missing or invalid
+     * @throws ConfigException if the text isn't JSON, or a field is missing or invalid
      */
-    public static Settings parse(String text, Map<String, String> environment) throws BadConfig {
+    public static Settings parse(String text, Map<String, String> environment) throws ConfigException {
         Fields fields;
         try {
             fields = new Fields("", new JSONObject(text));
         } catch (JSONException e) {
-            throw new BadConfig("config: not JSON: " + e.getMessage().replace('\n', ' '));
+            throw new ConfigException("config: not JSON: " + e.getMessage().replace('\n', ' '));
         }
         String name = fields.string("name", environment.get("ROUTER_NAME"));
         InetSocketAddress listen = required("listen", fields.address("listen", environment.get("ROUTER_LISTEN")));
@@ -112,14 +112,14 @@
                 decisions);
     }
 
-    private static <T> T required(String field, T value) throws BadConfig {
+    private static <T> T required(String field, T value) throws ConfigException {
         if (value == null) {
-            throw new BadConfig("config: " + field + " is missing");
+            throw new ConfigException("config: " + field + " is missing");
         }
         return value;
     }
 
-    private static Decisions.Settings decisionSettings(Fields fields, long seed) throws BadConfig {
+    private static Decisions.Settings decisionSettings(Fields fields, long seed) throws ConfigException {
         List<RequestClass> classes = classes(fields);
         List<Tenant> tenants = tenants(fields);
         Fields extra = fields.object("extra");
@@ -153,11 +153,11 @@
                     fields.object("client_habits").bool("marks_retry"),
                     fields.nonNegativeInteger("tick", 0));
         } catch (IllegalArgumentException e) {
-            throw new BadConfig("config: settings: " + e.getMessage());
+            throw new ConfigException("config: settings: " + e.getMessage());
         }
     }
 
-    private static List<RequestClass> classes(Fields fields) throws BadConfig {
+    private static List<RequestClass> classes(Fields fields) throws ConfigException {
         List<RequestClass> classes = new ArrayList<>();
         Set<String> names = new HashSet<>();
         for (Fields item : fields.objects("classes")) {
@@ -179,7 +179,7 @@
         return classes;
     }
 
-    private static List<Tenant> tenants(Fields fields) throws BadConfig {
+    private static List<Tenant> tenants(Fields fields) throws ConfigException {
         List<Tenant> tenants = new ArrayList<>();
         for (Fields item : fields.objects("tenants")) {
             tenants.add(new Tenant(
@@ -190,7 +190,7 @@
         return tenants;
     }
 
-    private static Origin origin(Fields fields) throws BadConfig {
+    private static Origin origin(Fields fields) throws ConfigException {
         return new Origin(
                 fields.choice("mode", Mode.THROUGH, MODES),
                 fields.intInRange("origin_kind", -1, -1, UNBOUNDED),
@@ -198,7 +198,7 @@
                 fields.nonNegativeInteger("origin_fall", 0));
     }
 
-    private static Goal goal(Fields fields) throws BadConfig {
+    private static Goal goal(Fields fields) throws ConfigException {
         return new Goal(
                 fields.decimal("whole", 1),
                 fields.decimal("worst_window", 0),
@@ -206,7 +206,7 @@
                 fields.decimal("worst_tenant", 0));
     }
 
-    private static Limits limits(Fields fields) throws BadConfig {
+    private static Limits limits(Fields fields) throws ConfigException {
         return new Limits(
                 fields.intInRange("max_attempts", 1, 1, UNBOUNDED),
                 fields.intInRange("open_cap", 0, 0, UNBOUNDED),
@@ -223,7 +223,7 @@
                 fields.nonNegativeDecimal("cpu_us_per_request", 0));
     }
 
-    private static RuleFigures rules(Fields fields) throws BadConfig {
+    private static RuleFigures rules(Fields fields) throws ConfigException {
         return new RuleFigures(
                 fields.nonNegativeInteger("answer_slack", 0),
                 fields.nonNegativeInteger("drain_grace", 0),
@@ -234,7 +234,7 @@
                 fields.nonNegativeInteger("overload_for", 0));
     }
 
-    private static Prices prices(Fields fields) throws BadConfig {
+    private static Prices prices(Fields fields) throws ConfigException {
         return new Prices(
                 fields.nonNegativeDecimal("connection", 0),
                 fields.nonNegativeDecimal("cross_zone", 0),
--- a/balancer/src/main/java/baymoor/config/Fields.java
+++ b/balancer/src/main/java/baymoor/config/Fields.java
@@ -25,11 +25,11 @@
     }
 
     /** Creates an exception that names a field and its problem. */
-    BadConfig error(String field, String problem) {
-        return new BadConfig("config: " + path + field + " " + problem);
+    ConfigException error(String field, String problem) {
+        return new ConfigException("config: " + path + field + " " + problem);
     }
 
-    private <T> T get(String field, Class<T> type, String expected) throws BadConfig {
+    private <T> T get(String field, Class<T> type, String expected) throws ConfigException {
         Object value = object.opt(field);
         if (value == null || value == JSONObject.NULL) {
             return null;
@@ -40,7 +40,7 @@
         return type.cast(value);
     }
 
-    private <T> T required(String field, T value) throws BadConfig {
+    private <T> T required(String field, T value) throws ConfigException {
         if (value == null) {
             throw error(field, "is missing");
         }
@@ -48,17 +48,17 @@
     }
 
     /** Returns a nested object, empty if it is absent. */
-    Fields object(String field) throws BadConfig {
+    Fields object(String field) throws ConfigException {
         JSONObject nested = get(field, JSONObject.class, "an object");
         return new Fields(path + field + ".", nested == null ? new JSONObject() : nested);
     }
 
     /** Returns a nested object as it is, or null if it is absent. */
-    JSONObject jsonObject(String field) throws BadConfig {
+    JSONObject jsonObject(String field) throws ConfigException {
         return get(field, JSONObject.class, "an object");
     }
 
-    List<Fields> objects(String field) throws BadConfig {
+    List<Fields> objects(String field) throws ConfigException {
         List<Fields> items = new ArrayList<>();
         JSONArray array = get(field, JSONArray.class, "a list");
         for (int i = 0; array != null && i < array.length(); i++) {
@@ -70,7 +70,7 @@
         return items;
     }
 
-    List<String> strings(String field) throws BadConfig {
+    List<String> strings(String field) throws ConfigException {
         List<String> items = new ArrayList<>();
         JSONArray array = get(field, JSONArray.class, "a list");
         for (int i = 0; array != null && i < array.length(); i++) {
@@ -82,41 +82,41 @@
         return items;
     }
 
-    String string(String field, String defaultValue) throws BadConfig {
+    String string(String field, String defaultValue) throws ConfigException {
         String value = get(field, String.class, "text");
         return value == null ? defaultValue : value;
     }
 
-    String string(String field) throws BadConfig {
+    String string(String field) throws ConfigException {
         return required(field, string(field, null));
     }
 
-    long integer(String field, long defaultValue) throws BadConfig {
+    long integer(String field, long defaultValue) throws ConfigException {
         Number value = get(field, Number.class, "a number");
         return value == null ? defaultValue : value.longValue();
     }
 
-    long integer(String field) throws BadConfig {
+    long integer(String field) throws ConfigException {
         required(field, object.opt(field));
         return integer(field, 0);
     }
 
-    double decimal(String field, double defaultValue) throws BadConfig {
+    double decimal(String field, double defaultValue) throws ConfigException {
         Number value = get(field, Number.class, "a number");
         return value == null ? defaultValue : value.doubleValue();
     }
 
     /** Returns an integer from {@code min} to {@code max}; the default isn't exempt from this range. */
-    int intInRange(String field, int defaultValue, int min, int max) throws BadConfig {
+    int intInRange(String field, int defaultValue, int min, int max) throws ConfigException {
         return checkRange(field, integer(field, defaultValue), min, max);
     }
 
     /** Returns a required integer from {@code min} to {@code max}. */
-    int intInRange(String field, int min, int max) throws BadConfig {
+    int intInRange(String field, int min, int max) throws ConfigException {
         return checkRange(field, integer(field), min, max);
     }
 
-    private int checkRange(String field, long value, int min, int max) throws BadConfig {
+    private int checkRange(String field, long value, int min, int max) throws ConfigException {
         if (value < min || value > max) {
             throw error(field, "is not from " + min + " to " + max);
         }
@@ -124,7 +124,7 @@
     }
 
     /** Returns a required integer of at least {@code min}. */
-    long requiredAtLeast(String field, long min) throws BadConfig {
+    long requiredAtLeast(String field, long min) throws ConfigException {
         long value = integer(field);
         if (value < min) {
             throw error(field, "is under " + min);
@@ -133,15 +133,15 @@
     }
 
     /** Returns an integer that can't be negative, such as a duration in microseconds. */
-    long nonNegativeInteger(String field, long defaultValue) throws BadConfig {
+    long nonNegativeInteger(String field, long defaultValue) throws ConfigException {
         return checkNonNegative(field, integer(field, defaultValue));
     }
 
-    double nonNegativeDecimal(String field, double defaultValue) throws BadConfig {
+    double nonNegativeDecimal(String field, double defaultValue) throws ConfigException {
         return checkNonNegative(field, decimal(field, defaultValue));
     }
 
-    private <N extends Number> N checkNonNegative(String field, N value) throws BadConfig {
+    private <N extends Number> N checkNonNegative(String field, N value) throws ConfigException {
         if (value.doubleValue() < 0) {
             throw error(field, "is under 0");
         }
@@ -149,12 +149,12 @@
     }
 
     /** Returns a boolean, false if it is absent. */
-    boolean bool(String field) throws BadConfig {
+    boolean bool(String field) throws ConfigException {
         return Boolean.TRUE.equals(get(field, Boolean.class, "true or false"));
     }
 
     /** Returns the value that the field's text names. */
-    <T> T choice(String field, T defaultValue, Map<String, T> valuesByName) throws BadConfig {
+    <T> T choice(String field, T defaultValue, Map<String, T> valuesByName) throws ConfigException {
         String name = string(field, null);
         if (name != null && !valuesByName.containsKey(name)) {
             throw error(
@@ -165,7 +165,7 @@
     }
 
     /** Returns a required 64-bit seed, given in hexadecimal. */
-    long hexSeed(String field) throws BadConfig {
+    long hexSeed(String field) throws ConfigException {
         try {
             return Long.parseUnsignedLong(string(field), 16);
         } catch (NumberFormatException e) {
@@ -173,12 +173,12 @@
         }
     }
 
-    InetSocketAddress address(String field, String defaultValue) throws BadConfig {
+    InetSocketAddress address(String field, String defaultValue) throws ConfigException {
         String text = string(field, defaultValue);
         return text == null ? null : parseAddress(field, text);
     }
 
-    List<InetSocketAddress> addresses(String field) throws BadConfig {
+    List<InetSocketAddress> addresses(String field) throws ConfigException {
         List<InetSocketAddress> addresses = new ArrayList<>();
         List<String> texts = strings(field);
         for (int i = 0; i < texts.size(); i++) {
@@ -187,7 +187,7 @@
         return addresses;
     }
 
-    private InetSocketAddress parseAddress(String field, String text) throws BadConfig {
+    private InetSocketAddress parseAddress(String field, String text) throws ConfigException {
         InetSocketAddress address = Address.parse(text);
         if (address == null) {
             throw error(field, "is not an address with a port: " + text);
--- a/balancer/src/main/java/baymoor/serve/ConfigReloader.java
+++ b/balancer/src/main/java/baymoor/serve/ConfigReloader.java
@@ -1,7 +1,7 @@
 package baymoor.serve;
 
-import baymoor.config.BadConfig;
 import baymoor.config.Config;
+import baymoor.config.ConfigException;
 
 /**
  * Reloads the configuration on request, one reload at a time, so that the last one applied is the newest. A request during startup
@@ -36,7 +36,7 @@
         reloadRequested = false;
         try {
             balancer.reload(Config.read(System.getenv()));
-        } catch (BadConfig | RuntimeException e) {
+        } catch (ConfigException | RuntimeException e) {
             log.accept(e.getMessage() + "; keeping the previous configuration");
         }
     }
--- a/balancer/src/main/java/baymoor/serve/Main.java
+++ b/balancer/src/main/java/baymoor/serve/Main.java
@@ -1,7 +1,7 @@
 package baymoor.serve;
 
-import baymoor.config.BadConfig;
 import baymoor.config.Config;
+import baymoor.config.ConfigException;
 import baymoor.config.Settings;
 import java.io.IOException;
 import java.io.OutputStream;
@@ -52,7 +52,7 @@
                     configFileWatcher.watch(reloader::requestReload);
                 }
             }
-        } catch (BadConfig e) {
+        } catch (ConfigException e) {
             System.err.println(e.getMessage());
             System.exit(EXIT_CANNOT_START);
         } catch (IOException | RuntimeException e) {
--- a/balancer/src/test/java/baymoor/assembly/EveryFieldTest.java
+++ b/balancer/src/test/java/baymoor/assembly/EveryFieldTest.java
@@ -5,8 +5,8 @@
 
 import baymoor.FakeLink;
 import baymoor.ManualTime;
-import baymoor.config.BadConfig;
 import baymoor.config.Config;
+import baymoor.config.ConfigException;
 import baymoor.counters.Count;
 import baymoor.counters.Counters;
 import baymoor.link.LinkEvents;
@@ -140,7 +140,7 @@
             for (int i = 0; i < 40; i++) {
                 time.pass(50_000);
             }
-        } catch (BadConfig e) {
+        } catch (ConfigException e) {
             String message = e.getMessage();
             return message.startsWith("config: ") && message.lines().count() == 1 && message.contains(expectedField)
                     ? null
--- a/balancer/src/test/java/baymoor/config/ConfigTest.java
+++ b/balancer/src/test/java/baymoor/config/ConfigTest.java
@@ -19,7 +19,7 @@
         """;
 
     @Test
-    public void validConfigurationIsParsed() throws BadConfig {
+    public void validConfigurationIsParsed() throws ConfigException {
         Settings settings = Config.parse(VALID, Map.of());
         assertEquals("n0", settings.name());
         assertEquals(0x92094eb940cf389aL, settings.decisionSettings().seed());
@@ -60,8 +60,8 @@
         };
         for (String[] c : cases) {
             assertTrue(c[0], VALID.contains(c[0]));
-            BadConfig error =
-                    assertThrows(c[1], BadConfig.class, () -> Config.parse(VALID.replace(c[0], c[1]), Map.of()));
+            ConfigException error =
+                    assertThrows(c[1], ConfigException.class, () -> Config.parse(VALID.replace(c[0], c[1]), Map.of()));
             assertTrue(
                     error.getMessage(),
                     error.getMessage().contains(c[2])
--- a/cli/src/main/java/baymoor/cli/Check.java
+++ b/cli/src/main/java/baymoor/cli/Check.java
@@ -1,7 +1,7 @@
 package baymoor.cli;
 
-import baymoor.config.BadConfig;
 import baymoor.config.Config;
+import baymoor.config.ConfigException;
 import baymoor.config.Settings;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -42,7 +42,7 @@
                             s.decisionSettings().tenants().size(),
                             text(s.discovery()));
             return 0;
-        } catch (BadConfig e) {
+        } catch (ConfigException e) {
             throw new Failed(file + ": " + e.getMessage());
         } catch (IOException e) {
             throw new Failed(file + ": can't be read");
--- a/emulator/src/main/java/baymoor/emulator/virtual/VirtualFleet.java
+++ b/emulator/src/main/java/baymoor/emulator/virtual/VirtualFleet.java
@@ -1,8 +1,8 @@
 package baymoor.emulator.virtual;
 
 import baymoor.assembly.Assembly;
-import baymoor.config.BadConfig;
 import baymoor.config.Config;
+import baymoor.config.ConfigException;
 import baymoor.counters.Count;
 import baymoor.counters.Counters;
 import baymoor.emulator.chance.Streams;
@@ -122,7 +122,7 @@
             b.reportedFailures = 0;
             net.bindDatagrams(platform.peer(b.number, b.number), b.process, assembly::datagramReceived);
             b.process.post(() -> assembly.start(() -> serve(b, assembly)));
-        } catch (BadConfig e) {
+        } catch (ConfigException e) {
             throw new IllegalStateException("generated balancer configuration is invalid: " + e.getMessage(), e);
         }
         log.append("start", b.process.name(), "-", b.incarnation, 0);
--- a/scale/src/main/java/baymoor/scale/hollow/HollowBalancer.java
+++ b/scale/src/main/java/baymoor/scale/hollow/HollowBalancer.java
@@ -1,8 +1,8 @@
 package baymoor.scale.hollow;
 
 import baymoor.assembly.Assembly;
-import baymoor.config.BadConfig;
 import baymoor.config.Config;
+import baymoor.config.ConfigException;
 import baymoor.config.Settings;
 import baymoor.counters.Count;
 import baymoor.counters.Counters;
@@ -254,7 +254,7 @@
         Path file = Path.of(around.assignment().folder(), "n" + number + ".json");
         try {
             life = new Life(Config.parse(Files.readString(file), Map.of()));
-        } catch (IOException | BadConfig e) {
+        } catch (IOException | ConfigException e) {
             around.log().accept("balancer " + number + " can't start: " + e.getMessage());
         }
     }
