--- a/balancer/src/main/java/baymoor/counters/Counters.java
+++ b/balancer/src/main/java/baymoor/counters/Counters.java
@@ -28,7 +28,7 @@
                     .append('\n');
         }
         return lines.append("invariants_broken:")
-                .append(Invariant.broken())
+                .append(Invariant.violations())
                 .append('\n')
                 .toString();
     }
--- a/balancer/src/main/java/baymoor/counters/Invariant.java
+++ b/balancer/src/main/java/baymoor/counters/Invariant.java
@@ -25,7 +25,7 @@
     }
 
     /** Returns the number of violations since the start of the process. */
-    public static long broken() {
+    public static long violations() {
         return VIOLATIONS.get();
     }
 }
--- a/emulator/src/main/java/baymoor/emulator/virtual/VirtualRun.java
+++ b/emulator/src/main/java/baymoor/emulator/virtual/VirtualRun.java
@@ -125,13 +125,13 @@
         fleet.startAll();
         world.begin();
         long start = engine.now();
-        long invariants = Invariant.broken();
+        long invariants = Invariant.violations();
         for (long at = start + CHECK_INTERVAL_MICROS; !engine.halted(); at += CHECK_INTERVAL_MICROS) {
             engine.runUntil(at);
             judge.look();
             fleet.checkCounters();
-            if (Invariant.broken() > invariants) {
-                invariants = Invariant.broken();
+            if (Invariant.violations() > invariants) {
+                invariants = Invariant.violations();
                 judge.invariant("balancers", "an invariant of the program broke");
             }
             if ((at - start) % 1_000_000 == 0) {
