--- a/balancer/src/main/java/baymoor/counters/Counters.java
+++ b/balancer/src/main/java/baymoor/counters/Counters.java
@@ -9,7 +9,7 @@
     private final AtomicLongArray values = new AtomicLongArray(Count.values().length);
 
     /** Increments a counter by one. */
-    public void add(Count counter) {
+    public void increment(Count counter) {
         values.incrementAndGet(counter.ordinal());
     }
 
--- a/balancer/src/main/java/baymoor/dispatch/Dispatcher.java
+++ b/balancer/src/main/java/baymoor/dispatch/Dispatcher.java
@@ -220,13 +220,13 @@
     }
 
     private void deliver(Event event) {
-        counters.add(Count.EVENTS);
+        counters.increment(Count.EVENTS);
         timersSetByEvent.clear();
         try {
             decisions.decide(time.now(), event, this);
         } catch (RuntimeException e) {
             // A failure of the decision module must not leave the request of this event without an answer.
-            counters.add(Count.DECISION_FAILURES);
+            counters.increment(Count.DECISION_FAILURES);
             log.accept("decision failed on " + event.getClass().getSimpleName() + ": " + shortStackTrace(e));
             if (event instanceof Request r) {
                 failRequest(r.id());
@@ -285,7 +285,7 @@
     private void send(Send action) {
         OpenRequest open = requests.get(action.request());
         if (open == null) {
-            counters.add(Count.ACTIONS_IGNORED);
+            counters.increment(Count.ACTIONS_IGNORED);
             return;
         }
         long now = time.now();
@@ -341,7 +341,7 @@
     private void answerRequest(String requestId, Answer answer) {
         OpenRequest open = requests.get(requestId);
         if (open == null || open.done || !north.answer(open.ticket, answer)) {
-            counters.add(Count.ACTIONS_IGNORED);
+            counters.increment(Count.ACTIONS_IGNORED);
             return;
         }
         markDone(open);
--- a/balancer/src/main/java/baymoor/inventory/Discovery.java
+++ b/balancer/src/main/java/baymoor/inventory/Discovery.java
@@ -272,7 +272,7 @@
     }
 
     private void handleCallFailure(Call call) {
-        counters.add(Count.INVENTORY_FAILED);
+        counters.increment(Count.INVENTORY_FAILED);
         watchCalls.remove(call);
         if (call == watch) {
             watch = null;
@@ -316,7 +316,7 @@
             startWatchCall();
         } else if (!call.idleReported) {
             call.idleReported = true;
-            counters.add(Count.INVENTORY_FAILED);
+            counters.increment(Count.INVENTORY_FAILED);
             listener.accept(new ServerList(ListKind.FAILED, inventory.version(), List.of()));
         }
     }
@@ -353,7 +353,7 @@
         Call(String target, boolean isWatch) {
             this.target = target;
             this.isWatch = isWatch;
-            counters.add(Count.INVENTORY_CALLS);
+            counters.increment(Count.INVENTORY_CALLS);
             timeout = time.schedule(ANSWER_TIMEOUT_MICROS, this::handleTimeout);
             link = dialer.dial(remoteAddress, this);
         }
@@ -391,7 +391,7 @@
                     handleResponseEnd();
                 }
             } catch (HttpException e) {
-                counters.add(Count.INVENTORY_BAD);
+                counters.increment(Count.INVENTORY_BAD);
                 fail();
             }
         }
@@ -421,7 +421,7 @@
         @Override
         public void onMalformed() {
             if (!closed) {
-                counters.add(Count.INVENTORY_BAD);
+                counters.increment(Count.INVENTORY_BAD);
                 listComplete = false;
                 fetchList();
             }
@@ -447,14 +447,14 @@
         private boolean applyList(String text) {
             try {
                 ServerList list = isWatch ? inventory.applyWatchObject(text) : inventory.applyFullList(text);
-                counters.add(Count.INVENTORY_LISTS);
+                counters.increment(Count.INVENTORY_LISTS);
                 if (list != null) {
                     listener.accept(list);
                 }
                 listComplete = !inventory.needsFullList();
                 return listComplete;
             } catch (JSONException e) {
-                counters.add(Count.INVENTORY_BAD);
+                counters.increment(Count.INVENTORY_BAD);
                 listComplete = false;
                 return false;
             }
--- a/balancer/src/main/java/baymoor/inventory/Inventory.java
+++ b/balancer/src/main/java/baymoor/inventory/Inventory.java
@@ -114,7 +114,7 @@
             return null;
         }
         stoppedVersion = Math.max(stoppedVersion, listVersion);
-        counters.add(Count.INVENTORY_STOPPED);
+        counters.increment(Count.INVENTORY_STOPPED);
         return new ServerList(ListKind.LAST_KNOWN, version, listedServers());
     }
 
@@ -174,7 +174,7 @@
     public ServerList applyWatchObject(String text) {
         JSONObject object = new JSONObject(text);
         if (isStale(object)) {
-            counters.add(Count.INVENTORY_BAD);
+            counters.increment(Count.INVENTORY_BAD);
             needsFullList = true;
             return null;
         }
@@ -224,7 +224,7 @@
                         server.id(), parseAddress(endpoint.getString("address")), server.kind(), server.state());
                 Server duplicate = receivedServers.get(server.id());
                 if (duplicate != null) {
-                    counters.add(Count.INVENTORY_BAD);
+                    counters.increment(Count.INVENTORY_BAD);
                     malformed = true;
                 }
                 // Of two entries for a host the one closer to removal applies: a draining host gets no new attempts.
@@ -233,7 +233,7 @@
                     receivedEntries.put(server.id(), entry);
                 }
             } catch (JSONException e) {
-                counters.add(Count.INVENTORY_BAD);
+                counters.increment(Count.INVENTORY_BAD);
                 malformed = true;
             }
         }
--- a/balancer/src/main/java/baymoor/inventory/ListExchange.java
+++ b/balancer/src/main/java/baymoor/inventory/ListExchange.java
@@ -165,7 +165,7 @@
         } else if (message instanceof ListMessage.NoNewerList noNewerList) {
             handleNoNewerList(from, noNewerList);
         } else {
-            counters.add(Count.PEER_BAD);
+            counters.increment(Count.PEER_BAD);
         }
         return true;
     }
@@ -183,7 +183,7 @@
     private void handleReply(int from, ListMessage.Reply reply) {
         PendingQuery query = pendingQueries.get(reply.nonce());
         if (query == null || query.peer != from) {
-            counters.add(Count.PEER_BAD);
+            counters.increment(Count.PEER_BAD);
             return;
         }
         query.parts.put(reply.partIndex(), reply);
@@ -207,7 +207,7 @@
     private void handleNoNewerList(int from, ListMessage.NoNewerList noNewerList) {
         PendingQuery query = pendingQueries.remove(noNewerList.nonce());
         if (query == null || query.peer != from) {
-            counters.add(Count.PEER_BAD);
+            counters.increment(Count.PEER_BAD);
         } else {
             confirmation.peerHasNoNewerList(time.now());
             if (noNewerList.downMillis() != ListMessage.NoNewerList.NOT_DOWN) {
--- a/balancer/src/main/java/baymoor/net/DecisionThread.java
+++ b/balancer/src/main/java/baymoor/net/DecisionThread.java
@@ -182,7 +182,7 @@
         } catch (RuntimeException | Error e) {
             // A failed task, even one that ran out of memory, must not end the thread: the process would keep its
             // connections and answer none of them. Requests that it left pending are answered at their deadlines.
-            counters.add(Count.TASK_FAILURES);
+            counters.increment(Count.TASK_FAILURES);
             log.accept("task failed: " + e + (e.getStackTrace().length > 0 ? " at " + e.getStackTrace()[0] : ""));
         }
     }
--- a/balancer/src/main/java/baymoor/north/North.java
+++ b/balancer/src/main/java/baymoor/north/North.java
@@ -115,7 +115,7 @@
 
     /** Accepts a client's connection and returns the listener for its events. */
     public LinkEvents accept(Link link) {
-        counters.add(Count.CLIENTS_ACCEPTED);
+        counters.increment(Count.CLIENTS_ACCEPTED);
         RespClient client = new RespClient(this, link);
         clients.add(client);
         if (clients.size() > maxClients) {
@@ -151,7 +151,7 @@
     }
 
     private void evict(RespClient client) {
-        counters.add(Count.CLIENTS_EVICTED);
+        counters.increment(Count.CLIENTS_EVICTED);
         clients.remove(client);
         evicted.add(client);
         client.closeAfterReplies();
@@ -175,7 +175,7 @@
                         clients.stream().filter(c -> c != newest && c.isIdle()).findFirst())
                 .ifPresentOrElse(this::evict, () -> {
                     if (clients.size() > maxClients + MAX_EXCESS_CONNECTIONS) {
-                        counters.add(Count.CLIENTS_EVICTED);
+                        counters.increment(Count.CLIENTS_EVICTED);
                         newest.closeAfterReplies();
                     } else {
                         newest.rejectFirstRequest();
@@ -193,7 +193,7 @@
         boolean exceeded = pendingByTicket.size() >= maxPendingRequests
                 || pendingValueBytes + valueLength(request) > maxValueBytes;
         if (exceeded) {
-            counters.add(Count.TURNED_AWAY);
+            counters.increment(Count.TURNED_AWAY);
         }
         return exceeded;
     }
@@ -211,7 +211,7 @@
 
     /** Registers an open request and starts the timer of its deadline. */
     PendingReply register(RespClient client, ClientRequest request) {
-        counters.add(Count.REQUESTS);
+        counters.increment(Count.REQUESTS);
         PendingReply pending = new PendingReply(client, ++lastTicket, valueLength(request));
         pendingValueBytes += pending.valueBytes;
         pendingByTicket.put(pending.ticket, pending);
@@ -226,7 +226,7 @@
 
     private void failOverdue(PendingReply pending) {
         if (pendingByTicket.containsKey(pending.ticket)) {
-            counters.add(Count.OVERDUE);
+            counters.increment(Count.OVERDUE);
             answer(pending.ticket, new Answer.Failed());
             requestHandler.requestAbandoned(pending.ticket);
         }
@@ -246,7 +246,7 @@
         }
         pendingValueBytes -= pending.valueBytes;
         pending.deadlineTimer.cancel();
-        counters.add(
+        counters.increment(
                 answer instanceof Answer.Served
                         ? Count.SERVED
                         : answer instanceof Answer.BackOff ? Count.REFUSED : Count.FAILED);
@@ -256,7 +256,7 @@
 
     /** Forgets a client and reports those of its requests that are still open as abandoned. */
     void clientDisconnected(RespClient client, Iterable<PendingReply> unanswered) {
-        counters.add(Count.CLIENTS_CLOSED);
+        counters.increment(Count.CLIENTS_CLOSED);
         clients.remove(client);
         evicted.remove(client);
         idleClients.remove(client);
@@ -269,7 +269,7 @@
             }
         }
         for (PendingReply pending : abandoned) {
-            counters.add(Count.REQUESTS_GONE);
+            counters.increment(Count.REQUESTS_GONE);
             requestHandler.requestAbandoned(pending.ticket);
         }
     }
--- a/balancer/src/main/java/baymoor/north/RespClient.java
+++ b/balancer/src/main/java/baymoor/north/RespClient.java
@@ -130,10 +130,10 @@
         if (inputStopped || closing
                 ? replies.isEmpty() && now - progressMicros > CLOSE_TIMEOUT_MICROS
                 : unsentWrites > 0 && now - progressMicros > WRITE_TIMEOUT_MICROS) {
-            north.counters.add(Count.CLIENTS_STUCK);
+            north.counters.increment(Count.CLIENTS_STUCK);
             link.close();
         } else if (awaitingCommand && now - commandStartMicros > COMMAND_TIMEOUT_MICROS) {
-            north.counters.add(Count.CLIENTS_SILENT);
+            north.counters.increment(Count.CLIENTS_SILENT);
             replyAndClose(RespWriter.error("ERR no whole command in time"));
         } else if (north.isDraining() && isIdle() && isSilent()) {
             closeAfterReplies();
@@ -141,7 +141,7 @@
                 && !inputStopped
                 && !closing
                 && now - progressMicros > (crowded ? CROWDED_IDLE_TIMEOUT_MICROS : IDLE_TIMEOUT_MICROS)) {
-            north.counters.add(Count.CLIENTS_IDLE);
+            north.counters.increment(Count.CLIENTS_IDLE);
             closeAfterReplies();
         }
     }
@@ -235,7 +235,7 @@
                 progressMicros = north.time.now();
                 commandStartMicros = progressMicros;
                 if (replies.size() >= MAX_PENDING_REPLIES) {
-                    north.counters.add(Count.TURNED_AWAY);
+                    north.counters.increment(Count.TURNED_AWAY);
                     rejectBusy();
                     continue;
                 }
@@ -245,7 +245,7 @@
                                 .toList());
             }
         } catch (RespException e) {
-            north.counters.add(Count.COMMANDS_BAD);
+            north.counters.increment(Count.COMMANDS_BAD);
             replyAndClose(RespWriter.error("ERR Protocol error: " + e.getMessage()));
         }
         if (!inputStopped && writeBacklogFull() != readingPaused) {
@@ -279,12 +279,12 @@
     }
 
     private void reply(byte[] reply) {
-        north.counters.add(Count.COMMANDS_OTHER);
+        north.counters.increment(Count.COMMANDS_OTHER);
         enqueueReply(reply);
     }
 
     private void rejectCommand(String reason) {
-        north.counters.add(Count.COMMANDS_BAD);
+        north.counters.increment(Count.COMMANDS_BAD);
         enqueueReply(RespWriter.error("ERR " + reason));
     }
 
--- a/balancer/src/main/java/baymoor/peers/Peers.java
+++ b/balancer/src/main/java/baymoor/peers/Peers.java
@@ -72,10 +72,10 @@
         }
         InetSocketAddress to = peer < 0 ? broadcastAddress : peer < addresses.size() ? addresses.get(peer) : null;
         if (to == null || datagram.length > MAX_DATAGRAM_BYTES) {
-            counters.add(Count.ACTIONS_IGNORED);
+            counters.increment(Count.ACTIONS_IGNORED);
             return;
         }
-        counters.add(Count.PEER_SENT);
+        counters.increment(Count.PEER_SENT);
         link.send(to, datagram);
     }
 
@@ -83,10 +83,10 @@
     public void received(InetSocketAddress from, byte[] datagram) {
         int peer = indexes.getOrDefault(from, -1);
         if (peer < 0 || datagram.length > MAX_DATAGRAM_BYTES) {
-            counters.add(Count.PEER_BAD);
+            counters.increment(Count.PEER_BAD);
             return;
         }
-        counters.add(Count.PEER_HEARD);
+        counters.increment(Count.PEER_HEARD);
         handler.onMessage(peer, datagram);
     }
 }
--- a/balancer/src/main/java/baymoor/south/HostConnection.java
+++ b/balancer/src/main/java/baymoor/south/HostConnection.java
@@ -103,7 +103,7 @@
         if (closing) {
             return;
         }
-        south.counters.add(Count.CONNECTIONS_OPENED);
+        south.counters.increment(Count.CONNECTIONS_OPENED);
         writeRequest();
     }
 
@@ -114,7 +114,7 @@
         }
         if (attempt == null) {
             // Unsolicited bytes must never be read as the answer to the next attempt.
-            south.counters.add(Count.ANSWERS_UNASKED);
+            south.counters.increment(Count.ANSWERS_UNASKED);
             close();
             return;
         }
@@ -146,7 +146,7 @@
 
     private void abortStalled() {
         if (!closing && attempt != null) {
-            south.counters.add(Count.ANSWERS_STALLED);
+            south.counters.increment(Count.ANSWERS_STALLED);
             abort(Outcome.ERROR);
         }
     }
--- a/balancer/src/main/java/baymoor/south/South.java
+++ b/balancer/src/main/java/baymoor/south/South.java
@@ -112,7 +112,7 @@
             RequestContent content,
             long deadlineMicros,
             BooleanSupplier stillAllowed) {
-        counters.add(Count.RELAYS);
+        counters.increment(Count.RELAYS);
         Attempt attempt =
                 new Attempt(requestId, attemptNumber, host(hostId), content, time.now(), deadlineMicros, stillAllowed);
         attempts.put(attemptKey(requestId, attemptNumber), attempt);
@@ -121,7 +121,7 @@
 
     /** Requests a host's load report, or pings it if it reports no load. The end is reported to the listener. */
     public void probe(long hostId) {
-        counters.add(Count.PROBES);
+        counters.increment(Count.PROBES);
         start(new Attempt(null, 0, host(hostId), null, time.now(), time.now() + PROBE_TIMEOUT_MICROS, () -> true));
     }
 
@@ -276,7 +276,7 @@
             return;
         }
         attempts.remove(attemptKey(attempt.requestId, attempt.number));
-        counters.add(
+        counters.increment(
                 switch (reply.outcome()) {
                     case SERVED -> Count.RELAYS_SERVED;
                     case MISS -> Count.RELAYS_MISS;
