--- a/emulator/src/main/java/baymoor/emulator/world/Fills.java
+++ b/emulator/src/main/java/baymoor/emulator/world/CacheFiller.java
@@ -13,7 +13,7 @@
  * stored at the first routers that reported a miss for that request, and a write invalidates all copies of its key.
  * Not thread-safe: all calls come from the platform's event thread.
  */
-final class Fills {
+final class CacheFiller {
 
     private static final long MISS_RETENTION_MICROS = 10_000_000;
     private static final int MAX_FILLED_ROUTERS = 2;
@@ -34,7 +34,7 @@
      * @param windowMicros  period over which reads are counted
      * @param invalidateAll invalidates the copies of a key at all routers
      */
-    Fills(Time time, long delayMicros, long windowMicros, Consumer<String> invalidateAll) {
+    CacheFiller(Time time, long delayMicros, long windowMicros, Consumer<String> invalidateAll) {
         this.time = time;
         this.delayMicros = delayMicros;
         this.windowMicros = windowMicros;
--- a/emulator/src/main/java/baymoor/emulator/world/Origin.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Origin.java
@@ -38,7 +38,7 @@
     private final Time time;
     private final UniformRandomProvider random;
     private final Catalogue catalogue;
-    private final Fills fills;
+    private final CacheFiller fills;
     private final Judge judge;
     private final Arrivals arrivals;
     private final Tally tally;
@@ -64,7 +64,7 @@
             Time time,
             UniformRandomProvider random,
             Catalogue catalogue,
-            Fills fills,
+            CacheFiller fills,
             Judge judge,
             Arrivals arrivals,
             Tally tally,
--- a/emulator/src/main/java/baymoor/emulator/world/Router.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Router.java
@@ -79,7 +79,7 @@
     private final Time time;
     private final UniformRandomProvider random;
     private final Catalogue catalogue;
-    private final Fills fills;
+    private final CacheFiller fills;
     private final Judge judge;
     private final Arrivals arrivals;
     private final Tally tally;
@@ -114,7 +114,7 @@
             Time time,
             UniformRandomProvider random,
             Catalogue catalogue,
-            Fills fills,
+            CacheFiller fills,
             Judge judge,
             Arrivals arrivals,
             Tally tally,
--- a/emulator/src/main/java/baymoor/emulator/world/RouterLoad.java
+++ b/emulator/src/main/java/baymoor/emulator/world/RouterLoad.java
@@ -60,7 +60,7 @@
         catalogue = new Catalogue(scenario, scenario.seed());
         random = streams.of("load");
         Time routerTime = platform.time("s-0", 0);
-        Fills fills = new Fills(routerTime, 0, 0, key -> {});
+        CacheFiller fills = new CacheFiller(routerTime, 0, 0, key -> {});
         Judge judge = new Judge(time::now, scenario.figures(), 0, b -> {});
         router = new Router(
                 "s-0",
--- a/emulator/src/main/java/baymoor/emulator/world/Routers.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Routers.java
@@ -36,7 +36,7 @@
     private final Time time;
     private final UniformRandomProvider random;
     private final Catalogue catalogue;
-    private final Fills fills;
+    private final CacheFiller fills;
     private final Judge judge;
     private final Arrivals arrivals;
     private final Tally tally;
@@ -67,7 +67,7 @@
             Time time,
             UniformRandomProvider random,
             Catalogue catalogue,
-            Fills fills,
+            CacheFiller fills,
             Judge judge,
             Arrivals arrivals,
             Tally tally,
--- a/emulator/src/main/java/baymoor/emulator/world/World.java
+++ b/emulator/src/main/java/baymoor/emulator/world/World.java
@@ -38,7 +38,7 @@
     private final Time time;
     private final UniformRandomProvider random;
     private final Catalogue catalogue;
-    private final Fills fills;
+    private final CacheFiller fills;
     private final Arrivals arrivals;
     private final Routers routers;
     private final Origin origin;
@@ -71,7 +71,7 @@
         time = platform.time("world", 0);
         random = streams.of("script");
         catalogue = new Catalogue(scenario, scenario.seed());
-        fills = new Fills(
+        fills = new CacheFiller(
                 time, scenario.net().cross().middle(), scenario.origin().fallMicros(), this::invalidateCopies);
         arrivals = new Arrivals(judge, platform.hostsTell());
         routers = new Routers(
