--- a/emulator/src/main/java/baymoor/emulator/world/CacheFiller.java
+++ b/emulator/src/main/java/baymoor/emulator/world/CacheFiller.java
@@ -94,7 +94,7 @@
     }
 
     /** Invalidates all copies of a key that has changed at the origin. */
-    void changed(String key) {
+    void invalidate(String key) {
         time.schedule(delayMicros, () -> invalidateAll.accept(key));
     }
 }
--- a/emulator/src/main/java/baymoor/emulator/world/Origin.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Origin.java
@@ -300,7 +300,7 @@
             } else {
                 judge.ran(id, NAME);
                 tally.wrote();
-                fills.changed(key);
+                fills.invalidate(key);
                 receiptCount++;
                 if (idempotencyKey != null) {
                     rememberIdempotencyKey(idempotencyKey);
--- a/emulator/src/main/java/baymoor/emulator/world/World.java
+++ b/emulator/src/main/java/baymoor/emulator/world/World.java
@@ -225,7 +225,7 @@
 
     private void scheduleKeyChange() {
         time.schedule((long) (Draw.exponential(random) / scenario.keys().changes() * 1e6) + 1, () -> {
-            fills.changed(
+            fills.invalidate(
                     Catalogue.name(catalogue.key(random.nextInt(scenario.keys().count()), time.now() - startedAt)));
             scheduleKeyChange();
         });
--- a/emulator/src/test/java/baymoor/emulator/world/HostsTest.java
+++ b/emulator/src/test/java/baymoor/emulator/world/HostsTest.java
@@ -119,7 +119,7 @@
         time.pass(200_000);
         String hit = client.takeOutput();
         assertTrue(hit, hit.contains("v " + KEY + " r3 ") && hit.endsWith("$3\r\nhit\r\n$-1\r\n"));
-        fills.changed(KEY);
+        fills.invalidate(KEY);
         time.pass(200);
         client.send(get(KEY, "r4", 900));
         time.pass(2_000);
