--- a/emulator/src/main/java/baymoor/emulator/world/Clients.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Clients.java
@@ -40,7 +40,7 @@
     private static final double WORK_HINT_ERROR = 0.1;
 
     private final Scenario scenario;
-    private final Catalogue catalogue;
+    private final WorkloadModel catalogue;
     private final Judge judge;
     private final Tally tally;
     private final Platform platform;
@@ -67,7 +67,7 @@
     private long pendingRequests;
 
     public Clients(
-            Scenario scenario, Platform platform, Streams streams, Catalogue catalogue, Judge judge, Tally tally) {
+            Scenario scenario, Platform platform, Streams streams, WorkloadModel catalogue, Judge judge, Tally tally) {
         this.scenario = scenario;
         this.platform = platform;
         this.catalogue = catalogue;
@@ -224,7 +224,7 @@
         private final RequestClass requestClass;
         private final String tenant;
         private final long key;
-        private final Catalogue.KeyProfile profile;
+        private final WorkloadModel.KeyProfile profile;
         private final String idempotencyKey;
         private final long workHintMicros;
         private final long arrivedAt;
@@ -242,7 +242,7 @@
                     : catalogue.key(zone.keyRanks.sample() - 1, zone.time.now() - measurementStart);
             key = hotKeyShare > 0 && Draw.chance(zone.random, hotKeyShare) ? hotKey : baseKey;
             profile = catalogue.profile(key);
-            idempotencyKey = requestClass.effect() == Effect.KEYED ? Catalogue.name(zone.random.nextLong()) : null;
+            idempotencyKey = requestClass.effect() == Effect.KEYED ? WorkloadModel.name(zone.random.nextLong()) : null;
             workHintMicros = (long) (catalogue.work(requestClass, profile)
                     * (1 + WORK_HINT_ERROR * (2 * zone.random.nextDouble() - 1)));
             arrivedAt = zone.time.now();
@@ -313,7 +313,7 @@
         ClientAttempt(Request request) {
             this.request = request;
             zone = request.zone;
-            id = Catalogue.name(zone.random.nextLong());
+            id = WorkloadModel.name(zone.random.nextLong());
             startedAt = zone.time.now();
             Scenario.Traffic traffic = scenario.traffic();
             double share = traffic.leastTry() + zone.random.nextDouble() * (traffic.mostTry() - traffic.leastTry());
@@ -356,7 +356,7 @@
             if (scenario.moduleSettings().sizes()) {
                 attributes.append(",size=").append(request.profile.size());
             }
-            byte[] key = RespWriter.utf8(Catalogue.name(request.key));
+            byte[] key = RespWriter.utf8(WorkloadModel.name(request.key));
             byte[] attributeList = RespWriter.utf8(attributes.toString());
             return requestClass.write()
                     ? RespWriter.command(
@@ -364,7 +364,7 @@
                             key,
                             RespWriter.utf8(id),
                             attributeList,
-                            Values.value(Catalogue.name(request.key), id, request.profile.size()))
+                            Values.value(WorkloadModel.name(request.key), id, request.profile.size()))
                     : RespWriter.command(RespWriter.utf8("OBJ.GET"), key, RespWriter.utf8(id), attributeList);
         }
 
--- a/emulator/src/main/java/baymoor/emulator/world/Origin.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Origin.java
@@ -37,7 +37,7 @@
     private final Scenario.Origin spec;
     private final Time time;
     private final UniformRandomProvider random;
-    private final Catalogue catalogue;
+    private final WorkloadModel catalogue;
     private final CacheFiller fills;
     private final Judge judge;
     private final Arrivals arrivals;
@@ -63,7 +63,7 @@
             Scenario scenario,
             Time time,
             UniformRandomProvider random,
-            Catalogue catalogue,
+            WorkloadModel catalogue,
             CacheFiller fills,
             Judge judge,
             Arrivals arrivals,
--- a/emulator/src/main/java/baymoor/emulator/world/Router.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Router.java
@@ -78,7 +78,7 @@
     private final Scenario.Figures figures;
     private final Time time;
     private final UniformRandomProvider random;
-    private final Catalogue catalogue;
+    private final WorkloadModel catalogue;
     private final CacheFiller fills;
     private final Judge judge;
     private final Arrivals arrivals;
@@ -113,7 +113,7 @@
             Scenario.Figures figures,
             Time time,
             UniformRandomProvider random,
-            Catalogue catalogue,
+            WorkloadModel catalogue,
             CacheFiller fills,
             Judge judge,
             Arrivals arrivals,
@@ -488,7 +488,7 @@
                 answer(pendingAnswer, RespWriter.error("SYNTAX"));
                 return;
             }
-            Catalogue.KeyProfile profile = catalogue.profile(keyNumber);
+            WorkloadModel.KeyProfile profile = catalogue.profile(keyNumber);
             boolean hit = read && cache.hit(key, time.now());
             double work = (hit ? catalogue.work(requestClass, profile) : kind.missMicros())
                     + (firstRequest ? kind.handshakeMicros() : 0);
@@ -575,7 +575,7 @@
         private final PendingAnswer pendingAnswer;
         private final String key;
         private final String id;
-        private final Catalogue.KeyProfile profile;
+        private final WorkloadModel.KeyProfile profile;
         private final boolean read;
         private final double work;
         private final long deadline;
@@ -586,7 +586,7 @@
                 PendingAnswer pendingAnswer,
                 String key,
                 String id,
-                Catalogue.KeyProfile profile,
+                WorkloadModel.KeyProfile profile,
                 boolean read,
                 double work,
                 long deadline) {
--- a/emulator/src/main/java/baymoor/emulator/world/RouterLoad.java
+++ b/emulator/src/main/java/baymoor/emulator/world/RouterLoad.java
@@ -33,7 +33,7 @@
     private final Platform platform;
     private final Scenario scenario;
     private final Time time;
-    private final Catalogue catalogue;
+    private final WorkloadModel catalogue;
     private final UniformRandomProvider random;
     private final Router router;
     private final Histogram latencies = new Histogram(MAX_LATENCY_MICROS, SIGNIFICANT_DIGITS);
@@ -57,7 +57,7 @@
         this.platform = platform;
         this.onEnd = onEnd;
         time = platform.time("clients-load", 0);
-        catalogue = new Catalogue(scenario, scenario.seed());
+        catalogue = new WorkloadModel(scenario, scenario.seed());
         random = streams.of("load");
         Time routerTime = platform.time("s-0", 0);
         CacheFiller fills = new CacheFiller(routerTime, 0, 0, key -> {});
@@ -89,7 +89,7 @@
         router.prefill(IntStream.range(0, KEY_COUNT)
                 .mapToLong(r -> catalogue.key(r, 0))
                 .mapToObj(k -> new Router.PrefilledObject(
-                        Catalogue.name(k), catalogue.profile(k).size()))
+                        WorkloadModel.name(k), catalogue.profile(k).size()))
                 .toList());
         platform.listen(0, "s-0", 0, router::accept);
         recordFrom = time.now() + scenario.durationMicros() / WARM_UP_DIVISOR;
@@ -105,7 +105,7 @@
             if (nextArrivalAt < loadEndsAt) {
                 openRequests++;
                 LoadClient client = idleClients.isEmpty() ? new LoadClient() : idleClients.pollLast();
-                client.send(catalogue.key(random.nextInt(KEY_COUNT), 0), Catalogue.name(random.nextLong()));
+                client.send(catalogue.key(random.nextInt(KEY_COUNT), 0), WorkloadModel.name(random.nextLong()));
                 scheduleNext();
             } else {
                 allSent = true;
@@ -147,7 +147,7 @@
             RequestClass requestClass = scenario.classes().get(0);
             command = RespWriter.command(
                     RespWriter.utf8("OBJ.GET"),
-                    RespWriter.utf8(Catalogue.name(key)),
+                    RespWriter.utf8(WorkloadModel.name(key)),
                     RespWriter.utf8(id),
                     RespWriter.utf8("c=" + requestClass.name() + ",t=load,d=" + requestClass.giveUpMicros() / 1000));
             if (link == null) {
--- a/emulator/src/main/java/baymoor/emulator/world/Routers.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Routers.java
@@ -35,7 +35,7 @@
     private final Streams streams;
     private final Time time;
     private final UniformRandomProvider random;
-    private final Catalogue catalogue;
+    private final WorkloadModel catalogue;
     private final CacheFiller fills;
     private final Judge judge;
     private final Arrivals arrivals;
@@ -66,7 +66,7 @@
             Streams streams,
             Time time,
             UniformRandomProvider random,
-            Catalogue catalogue,
+            WorkloadModel catalogue,
             CacheFiller fills,
             Judge judge,
             Arrivals arrivals,
@@ -133,7 +133,7 @@
         for (int rank = 0; rank < objectCount && scenario.keys().prefill(); rank++) {
             long key = catalogue.key(rank, 0);
             prefilled.add(new Router.PrefilledObject(
-                    Catalogue.name(key), catalogue.profile(key).size()));
+                    WorkloadModel.name(key), catalogue.profile(key).size()));
         }
         for (Slot slot : slots) {
             slot.router.start(0);
--- a/emulator/src/main/java/baymoor/emulator/world/Catalogue.java
+++ b/emulator/src/main/java/baymoor/emulator/world/WorkloadModel.java
@@ -13,7 +13,7 @@
  * Derives the properties of keys from the scenario and its seed: popularity ranks, object sizes, and the work that a
  * request for a key makes in each request class. Immutable.
  */
-public final class Catalogue {
+public final class WorkloadModel {
 
     private static final long MIN_OBJECT_BYTES = 64;
     private static final long MAX_OBJECT_BYTES = 60 * 1024;
@@ -22,7 +22,7 @@
     private final long seed;
     private final Map<String, RequestClass> classes = new HashMap<>();
 
-    public Catalogue(Scenario scenario, long seed) {
+    public WorkloadModel(Scenario scenario, long seed) {
         keys = scenario.keys();
         this.seed = seed;
         scenario.classes().forEach(c -> classes.put(c.name(), c));
--- a/emulator/src/main/java/baymoor/emulator/world/World.java
+++ b/emulator/src/main/java/baymoor/emulator/world/World.java
@@ -37,7 +37,7 @@
     private final BiConsumer<String, String> eventSink;
     private final Time time;
     private final UniformRandomProvider random;
-    private final Catalogue catalogue;
+    private final WorkloadModel catalogue;
     private final CacheFiller fills;
     private final Arrivals arrivals;
     private final Routers routers;
@@ -70,7 +70,7 @@
         this.eventSink = eventSink;
         time = platform.time("world", 0);
         random = streams.of("script");
-        catalogue = new Catalogue(scenario, scenario.seed());
+        catalogue = new WorkloadModel(scenario, scenario.seed());
         fills = new CacheFiller(
                 time, scenario.net().cross().middle(), scenario.origin().fallMicros(), this::invalidateCopies);
         arrivals = new Arrivals(judge, platform.hostsTell());
@@ -225,8 +225,8 @@
 
     private void scheduleKeyChange() {
         time.schedule((long) (Draw.exponential(random) / scenario.keys().changes() * 1e6) + 1, () -> {
-            fills.invalidate(
-                    Catalogue.name(catalogue.key(random.nextInt(scenario.keys().count()), time.now() - startedAt)));
+            fills.invalidate(WorkloadModel.name(
+                    catalogue.key(random.nextInt(scenario.keys().count()), time.now() - startedAt)));
             scheduleKeyChange();
         });
     }
--- a/emulator/src/test/java/baymoor/emulator/world/HostsTest.java
+++ b/emulator/src/test/java/baymoor/emulator/world/HostsTest.java
@@ -28,7 +28,7 @@
     private final List<Router> crashedRouters = new ArrayList<>();
     private final List<String> originCrashes = new ArrayList<>();
     private Judge judge;
-    private Catalogue catalogue;
+    private WorkloadModel catalogue;
     private CacheFiller fills;
     private Router router;
 
@@ -72,7 +72,7 @@
             cold = "10s"
             """ + extraSettings, "hosts");
         judge = new Judge(time::now, scenario.figures(), 0, b -> {});
-        catalogue = new Catalogue(scenario, 1);
+        catalogue = new WorkloadModel(scenario, 1);
         fills = new CacheFiller(time, 100, scenario.origin().fallMicros(), key -> router.invalidate(key));
         router = new Router(
                 "a",
