--- a/emulator/src/main/java/baymoor/emulator/world/LoadGauge.java
+++ b/emulator/src/main/java/baymoor/emulator/world/LoadReporter.java
@@ -4,7 +4,7 @@
 import java.util.Locale;
 
 /** A router's load report, sampled at intervals and therefore slightly stale when it is read. Not thread-safe. */
-final class LoadGauge {
+final class LoadReporter {
 
     /** Names of the reported fields, as in the balancer's settings. */
     static final List<String> NAMES = List.of("outstanding", "backlog", "utilization");
@@ -15,7 +15,7 @@
     private long sampledAt = Long.MIN_VALUE / 2;
     private String latest = "";
 
-    LoadGauge(int slots) {
+    LoadReporter(int slots) {
         this.slots = slots;
     }
 
--- a/emulator/src/main/java/baymoor/emulator/world/Router.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Router.java
@@ -87,7 +87,7 @@
     private final double speed;
     private final ProcessorSharingServer server;
     private final ObjectCache cache;
-    private final LoadGauge gauge;
+    private final LoadReporter gauge;
     private final Map<String, Long> fetchLeases = new LinkedHashMap<>();
     private final Set<Connection> connections = new LinkedHashSet<>();
     private final ArrayDeque<ColdWork> recentColdWork = new ArrayDeque<>();
@@ -140,7 +140,7 @@
                 speed,
                 kind.thrash(),
                 kind.crowd());
-        gauge = new LoadGauge(kind.slots() * kind.cores());
+        gauge = new LoadReporter(kind.slots() * kind.cores());
         cache = new ObjectCache(kind.memory(), kind.ttlMicros());
     }
 
