--- a/emulator/src/main/java/baymoor/emulator/world/BalancerConfig.java
+++ b/emulator/src/main/java/baymoor/emulator/world/BalancerConfig.java
@@ -93,7 +93,7 @@
                 .put("how", figures.reports().name().toLowerCase(Locale.ROOT))
                 .putArray("names");
         if (figures.reports() != Scenario.Reports.OFF) {
-            LoadReporter.NAMES.forEach(loadFields::add);
+            LoadReporter.FIELD_NAMES.forEach(loadFields::add);
         }
         settings.putObject("client_habits")
                 .put("marks_retry", scenario.moduleSettings().retries());
--- a/emulator/src/main/java/baymoor/emulator/world/LoadReporter.java
+++ b/emulator/src/main/java/baymoor/emulator/world/LoadReporter.java
@@ -7,7 +7,7 @@
 final class LoadReporter {
 
     /** Names of the reported fields, as in the balancer's settings. */
-    static final List<String> NAMES = List.of("outstanding", "backlog", "utilization");
+    static final List<String> FIELD_NAMES = List.of("outstanding", "backlog", "utilization");
 
     private static final long REFRESH_MICROS = 100_000;
 
