--- a/emulator/src/main/java/baymoor/emulator/world/DiscoveryService.java
+++ b/emulator/src/main/java/baymoor/emulator/world/DiscoveryService.java
@@ -41,7 +41,7 @@
     private static final byte[] EMPTY_BODY = new byte[0];
 
     /** Resolves the addresses of hosts for a balancer, and converts the platform's time to Unix time. */
-    public interface Reach {
+    public interface AddressResolver {
         /** Returns the address of a host as a balancer reaches it. */
         InetSocketAddress address(int host, int balancer);
 
@@ -63,7 +63,7 @@
     private final Time time;
     private final UniformRandomProvider random;
     private final Judge judge;
-    private final Reach reach;
+    private final AddressResolver reach;
     private final IntToLongFunction partitionedSince;
     private final CallListener callListener;
     /** The current entries by name. */
@@ -101,7 +101,7 @@
             Time time,
             UniformRandomProvider random,
             Judge judge,
-            Reach reach,
+            AddressResolver reach,
             IntToLongFunction partitionedSince,
             CallListener callListener) {
         this.callListener = callListener;
--- a/emulator/src/main/java/baymoor/emulator/world/Platform.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Platform.java
@@ -8,7 +8,7 @@
  * Network, clock and timers of an emulated deployment: in virtual time, or with sockets on the loopback interface. A
  * place is the number of an address, at which different hosts may listen one after another.
  */
-public interface Platform extends DiscoveryService.Reach {
+public interface Platform extends DiscoveryService.AddressResolver {
 
     /** Returns the clock and timers of a host. */
     Time time(String host, int zone);
