--- a/emulator/src/main/java/baymoor/emulator/world/DiscoveryService.java
+++ b/emulator/src/main/java/baymoor/emulator/world/DiscoveryService.java
@@ -114,7 +114,7 @@
     }
 
     /** How discovery can notice a change, which determines how long it takes. */
-    enum Sign {
+    enum ChangeCause {
         ENDED,
         SILENT,
         ADDED
@@ -126,7 +126,7 @@
     }
 
     /** Reports a change, which is listed after the delay with which discovery notices it. */
-    void changed(Entry entry, Sign sign) {
+    void changed(Entry entry, ChangeCause sign) {
         long noticeMicros = Draw.within(
                 random,
                 switch (sign) {
--- a/emulator/src/main/java/baymoor/emulator/world/Routers.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Routers.java
@@ -6,7 +6,7 @@
 import baymoor.emulator.scenario.Scenario;
 import baymoor.emulator.scenario.Scenario.RouterKind;
 import baymoor.emulator.scenario.Scenario.ScriptedEvent;
-import baymoor.emulator.world.DiscoveryService.Sign;
+import baymoor.emulator.world.DiscoveryService.ChangeCause;
 import baymoor.emulator.world.Listing.Entry;
 import baymoor.emulator.world.Listing.Status;
 import baymoor.link.Time;
@@ -41,7 +41,7 @@
     private final Arrivals arrivals;
     private final Tally tally;
     private final BiConsumer<String, String> onEvent;
-    private final BiConsumer<Entry, Sign> onEntryChange;
+    private final BiConsumer<Entry, ChangeCause> onEntryChange;
     private final List<Slot> slots = new ArrayList<>();
     private int replacements;
 
@@ -72,7 +72,7 @@
             Arrivals arrivals,
             Tally tally,
             BiConsumer<String, String> onEvent,
-            BiConsumer<Entry, Sign> onEntryChange) {
+            BiConsumer<Entry, ChangeCause> onEntryChange) {
         this.scenario = scenario;
         this.platform = platform;
         this.streams = streams;
@@ -199,7 +199,8 @@
 
     private void reportTerminated(Slot slot, boolean silently) {
         platform.stopListening(slot.place, silently);
-        onEntryChange.accept(slot.entry.withStatus(Status.TERMINATED), silently ? Sign.SILENT : Sign.ENDED);
+        onEntryChange.accept(
+                slot.entry.withStatus(Status.TERMINATED), silently ? ChangeCause.SILENT : ChangeCause.ENDED);
     }
 
     /** Chooses as many running routers as the event asks for at random, within its zone if it names one. */
@@ -235,11 +236,11 @@
             }
             case DRAIN_ROUTER -> {
                 r.drain();
-                onEntryChange.accept(slot.entry.withStatus(Status.TERMINATING), Sign.ENDED);
+                onEntryChange.accept(slot.entry.withStatus(Status.TERMINATING), ChangeCause.ENDED);
                 time.schedule(event.forMicros(), () -> {
                     if (slot.router == r && r.state() == Router.State.DRAINING) {
                         r.undrain();
-                        onEntryChange.accept(slot.entry, Sign.ADDED);
+                        onEntryChange.accept(slot.entry, ChangeCause.ADDED);
                     }
                 });
             }
@@ -268,6 +269,6 @@
         r.start(time.now() / 1000 * 1000);
         slot.entry = createEntry(slot);
         listen(slot);
-        onEntryChange.accept(slot.entry, Sign.ADDED);
+        onEntryChange.accept(slot.entry, ChangeCause.ADDED);
     }
 }
--- a/emulator/src/main/java/baymoor/emulator/world/World.java
+++ b/emulator/src/main/java/baymoor/emulator/world/World.java
@@ -6,7 +6,7 @@
 import baymoor.emulator.report.Tally;
 import baymoor.emulator.scenario.Scenario;
 import baymoor.emulator.scenario.Scenario.ScriptedEvent;
-import baymoor.emulator.world.DiscoveryService.Sign;
+import baymoor.emulator.world.DiscoveryService.ChangeCause;
 import baymoor.emulator.world.Listing.Entry;
 import baymoor.emulator.world.Listing.Status;
 import baymoor.link.Time;
@@ -115,7 +115,7 @@
         routers.voided(key);
     }
 
-    private void updateDiscovery(Entry entry, Sign sign) {
+    private void updateDiscovery(Entry entry, ChangeCause sign) {
         discovery.changed(entry, sign);
     }
 
