--- a/emulator/src/main/java/baymoor/emulator/world/DiscoveryService.java
+++ b/emulator/src/main/java/baymoor/emulator/world/DiscoveryService.java
@@ -198,7 +198,7 @@
     }
 
     /** Makes all calls take {@code factor} times as long, until the next call; 1 restores the usual speed. */
-    public void slow(double factor) {
+    public void setSlowdown(double factor) {
         slowdown = factor;
     }
 
--- a/emulator/src/main/java/baymoor/emulator/world/World.java
+++ b/emulator/src/main/java/baymoor/emulator/world/World.java
@@ -281,8 +281,8 @@
                 time.schedule(event.forMicros(), () -> platform.loseDatagrams(0));
             }
             case DISCOVERY_SLOW -> {
-                discovery.slow(event.factor());
-                time.schedule(event.forMicros(), () -> discovery.slow(1));
+                discovery.setSlowdown(event.factor());
+                time.schedule(event.forMicros(), () -> discovery.setSlowdown(1));
             }
             case DISCOVERY_DOWN -> {
                 discovery.down();
