--- a/emulator/src/main/java/baymoor/emulator/world/Routers.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Routers.java
@@ -145,7 +145,7 @@
     }
 
     /** Invalidates all cached copies of a key. */
-    void voided(String key) {
+    void invalidate(String key) {
         slots.forEach(slot -> slot.router.invalidate(key));
     }
 
@@ -215,7 +215,7 @@
     }
 
     /** Applies an event to as many running routers as it asks for. */
-    void befall(ScriptedEvent event) {
+    void apply(ScriptedEvent event) {
         chooseRunning(event).forEach(slot -> apply(event, slot));
     }
 
--- a/emulator/src/main/java/baymoor/emulator/world/World.java
+++ b/emulator/src/main/java/baymoor/emulator/world/World.java
@@ -112,7 +112,7 @@
     }
 
     private void invalidateCopies(String key) {
-        routers.voided(key);
+        routers.invalidate(key);
     }
 
     private void updateDiscovery(Entry entry, ChangeCause sign) {
@@ -301,7 +301,7 @@
             }
             case RESTART_BALANCERS -> restartBalancers(event);
             case KILL_BALANCER, VANISH_BALANCER, STALL_BALANCER -> disruptBalancers(event);
-            default -> routers.befall(event);
+            default -> routers.apply(event);
         }
     }
 
