--- a/emulator/src/main/java/baymoor/emulator/world/Origin.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Origin.java
@@ -88,7 +88,7 @@
     }
 
     /** Makes all requests take {@code factor} times as long, until the next call; 1 restores the usual speed. */
-    public void slow(double factor) {
+    public void setSlowdown(double factor) {
         server.setSpeedFactor(1 / factor);
     }
 
--- a/emulator/src/main/java/baymoor/emulator/world/World.java
+++ b/emulator/src/main/java/baymoor/emulator/world/World.java
@@ -267,8 +267,8 @@
                 });
             }
             case SLOW_ORIGIN -> {
-                origin.slow(event.factor());
-                time.schedule(event.forMicros(), () -> origin.slow(1));
+                origin.setSlowdown(event.factor());
+                time.schedule(event.forMicros(), () -> origin.setSlowdown(1));
             }
             case STOP_ORIGIN -> stopOrigin(event.forMicros());
             case FLUSH -> routers.flush(event.share());
