--- a/emulator/src/main/java/baymoor/emulator/scenario/Scenario.java
+++ b/emulator/src/main/java/baymoor/emulator/scenario/Scenario.java
@@ -339,7 +339,7 @@
     }
 
     /** How a faulty router corrupts its answers. */
-    public enum Spoil {
+    public enum AnswerFault {
         GARBLE,
         CUT_SHORT,
         DOUBLE,
@@ -372,7 +372,7 @@
             String zone,
             long withinMicros,
             double atOnce,
-            Spoil spoil,
+            AnswerFault spoil,
             boolean planned,
             int line) {}
 
--- a/emulator/src/main/java/baymoor/emulator/scenario/ScenarioReader.java
+++ b/emulator/src/main/java/baymoor/emulator/scenario/ScenarioReader.java
@@ -1,5 +1,6 @@
 package baymoor.emulator.scenario;
 
+import baymoor.emulator.scenario.Scenario.AnswerFault;
 import baymoor.emulator.scenario.Scenario.Balancers;
 import baymoor.emulator.scenario.Scenario.Discovery;
 import baymoor.emulator.scenario.Scenario.Effect;
@@ -13,7 +14,6 @@
 import baymoor.emulator.scenario.Scenario.RequestClass;
 import baymoor.emulator.scenario.Scenario.RouterKind;
 import baymoor.emulator.scenario.Scenario.ScriptedEvent;
-import baymoor.emulator.scenario.Scenario.Spoil;
 import baymoor.emulator.scenario.Scenario.Tenant;
 import baymoor.emulator.scenario.Scenario.Traffic;
 import java.io.IOException;
@@ -457,7 +457,7 @@
                     && !table.has("factor")) {
                 table.mistake("factor", "is missing: state the multiple of the load or of the service time");
             }
-            Spoil spoil = table.word("spoil", Spoil.class, Spoil.GARBLE);
+            AnswerFault spoil = table.word("spoil", AnswerFault.class, AnswerFault.GARBLE);
             events.add(new ScriptedEvent(
                     kind,
                     startMicros,
--- a/emulator/src/main/java/baymoor/emulator/world/Router.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Router.java
@@ -4,10 +4,10 @@
 import baymoor.emulator.judge.Judge;
 import baymoor.emulator.report.Tally;
 import baymoor.emulator.scenario.Scenario;
+import baymoor.emulator.scenario.Scenario.AnswerFault;
 import baymoor.emulator.scenario.Scenario.Expired;
 import baymoor.emulator.scenario.Scenario.RequestClass;
 import baymoor.emulator.scenario.Scenario.RouterKind;
-import baymoor.emulator.scenario.Scenario.Spoil;
 import baymoor.link.Link;
 import baymoor.link.LinkEvents;
 import baymoor.link.Time;
@@ -102,7 +102,7 @@
     private boolean paused;
     private int hangCount;
     private int incarnation;
-    private Spoil answerFault;
+    private AnswerFault answerFault;
     private double answerFaultShare;
 
     /** @param onCrash called when the router crashes under overload while cold */
@@ -258,7 +258,7 @@
      * @param fault how answers are corrupted, or null to stop
      * @param share probability for each answer, from 0 to 1
      */
-    public void injectAnswerFault(Spoil fault, double share) {
+    public void injectAnswerFault(AnswerFault fault, double share) {
         answerFault = fault;
         answerFaultShare = share;
     }
