--- a/emulator/src/main/java/baymoor/emulator/scenario/Scenario.java
+++ b/emulator/src/main/java/baymoor/emulator/scenario/Scenario.java
@@ -372,7 +372,7 @@
             String zone,
             long withinMicros,
             double atOnce,
-            AnswerFault spoil,
+            AnswerFault answerFault,
             boolean planned,
             int line) {}
 
--- a/emulator/src/main/java/baymoor/emulator/world/Routers.java
+++ b/emulator/src/main/java/baymoor/emulator/world/Routers.java
@@ -254,7 +254,7 @@
                 time.schedule(event.forMicros(), () -> r.hang(false));
             }
             case BAD_ROUTER -> {
-                r.injectAnswerFault(event.spoil(), event.share());
+                r.injectAnswerFault(event.answerFault(), event.share());
                 time.schedule(event.forMicros(), () -> r.injectAnswerFault(null, 0));
             }
             default -> throw new IllegalStateException("not a router event: " + event.what());
