--- a/tier/src/main/java/baymoor/tier/exchange/ShareRules.java
+++ b/tier/src/main/java/baymoor/tier/exchange/ShareRules.java
@@ -93,14 +93,14 @@
     int units(CommitmentLog log, int child, int acknowledgementEpoch, int transferEpoch, Commitment ownCommitment) {
         long units = 0;
         if (ownsBase(log, child, acknowledgementEpoch)) {
-            units += baseUnits[child] - (ownCommitment == null ? maxTransfer(child) : ownCommitment.given());
+            units += baseUnits[child] - (ownCommitment == null ? maxTransfer(child) : ownCommitment.totalTransferred());
         }
         for (int other = 0; other < baseUnits.length; other++) {
             if (other == child) {
                 continue;
             }
             Commitment commitment = log.get(other, transferEpoch);
-            units += commitment == null ? 0 : commitment.gives()[child];
+            units += commitment == null ? 0 : commitment.transfers()[child];
             units += isBaseRevoked(log, other, acknowledgementEpoch) ? reassignedUnits(other, child) : 0;
         }
         return (int) Math.max(0, units);
--- a/tier/src/main/java/baymoor/tier/message/Commitment.java
+++ b/tier/src/main/java/baymoor/tier/message/Commitment.java
@@ -8,9 +8,9 @@
  * be modified after construction.
  *
  * @param acknowledged a bit set in which bit {@code i} is set if a recent message from child {@code i} was received
- * @param gives the units transferred to each child, indexed by child
+ * @param transfers the units transferred to each child, indexed by child
  */
-public record Commitment(int acknowledged, int[] gives) {
+public record Commitment(int acknowledged, int[] transfers) {
 
     /** Returns whether the commitment acknowledges the given child. */
     public boolean acknowledges(int child) {
@@ -18,24 +18,24 @@
     }
 
     /** Returns the sum of all transferred units. */
-    public long given() {
-        return Arrays.stream(gives).asLongStream().sum();
+    public long totalTransferred() {
+        return Arrays.stream(transfers).asLongStream().sum();
     }
 
     @Override
     public boolean equals(Object other) {
         return other instanceof Commitment that
                 && acknowledged == that.acknowledged
-                && Arrays.equals(gives, that.gives);
+                && Arrays.equals(transfers, that.transfers);
     }
 
     @Override
     public int hashCode() {
-        return 31 * acknowledged + Arrays.hashCode(gives);
+        return 31 * acknowledged + Arrays.hashCode(transfers);
     }
 
     @Override
     public String toString() {
-        return "Commitment[" + Integer.toBinaryString(acknowledged) + ", " + Arrays.toString(gives) + "]";
+        return "Commitment[" + Integer.toBinaryString(acknowledged) + ", " + Arrays.toString(transfers) + "]";
     }
 }
--- a/tier/src/main/java/baymoor/tier/message/MessageCodec.java
+++ b/tier/src/main/java/baymoor/tier/message/MessageCodec.java
@@ -101,10 +101,10 @@
             return;
         }
         out.putShort((short) commitment.acknowledged());
-        out.put((byte) Arrays.stream(commitment.gives()).filter(g -> g > 0).count());
-        for (int child = 0; child < commitment.gives().length; child++) {
-            if (commitment.gives()[child] > 0) {
-                out.put((byte) child).putShort((short) commitment.gives()[child]);
+        out.put((byte) Arrays.stream(commitment.transfers()).filter(g -> g > 0).count());
+        for (int child = 0; child < commitment.transfers().length; child++) {
+            if (commitment.transfers()[child] > 0) {
+                out.put((byte) child).putShort((short) commitment.transfers()[child]);
             }
         }
     }
