--- a/tier/src/main/java/baymoor/tier/exchange/GroupMember.java
+++ b/tier/src/main/java/baymoor/tier/exchange/GroupMember.java
@@ -178,7 +178,7 @@
         boolean binding = message.commitment() != null;
         if (message.epoch() > sibling.lastEpoch || message.epoch() == sibling.lastEpoch && binding) {
             sibling.lastEpoch = message.epoch();
-            sibling.representative = message.speaker();
+            sibling.representative = message.representative();
             sibling.previousVersion = false;
             sibling.totals = message.totals();
             LoadReporter.apply(message.loads(), routers, sibling.loads);
--- a/tier/src/main/java/baymoor/tier/exchange/RepresentativeTable.java
+++ b/tier/src/main/java/baymoor/tier/exchange/RepresentativeTable.java
@@ -33,7 +33,7 @@
 
     /** Records the representative in a message, and those one level up that its digest names. */
     void update(GroupMessage message) {
-        representatives[message.level().ordinal()][message.child()] = message.speaker();
+        representatives[message.level().ordinal()][message.child()] = message.representative();
         if (message.digest() != null && !message.level().isTop()) {
             updateLevel(message.level().above(), message.digest().speakers());
         }
@@ -65,8 +65,8 @@
                 && message.child() < children
                 && message.vote() < children
                 && message.child() != places.child(message.level(), balancer)
-                && mayRepresent(message.level(), message.child(), message.speaker())
+                && mayRepresent(message.level(), message.child(), message.representative())
                 && message.totals().members() <= group.sizes().get(message.child())
-                && (sender == message.speaker() || message.hops() > 0);
+                && (sender == message.representative() || message.hops() > 0);
     }
 }
--- a/tier/src/main/java/baymoor/tier/message/GroupMessage.java
+++ b/tier/src/main/java/baymoor/tier/message/GroupMessage.java
@@ -9,10 +9,10 @@
  * @param level the level of the group
  * @param group the number of the group
  * @param child the index of the child on whose behalf the message is sent
- * @param speaker the number of the balancer that sends on behalf of the child
- * @param hops how many times the message has been forwarded to a newer speaker
+ * @param representative the number of the balancer that sends on behalf of the child
+ * @param hops how many times the message has been forwarded to a newer representative
  * @param epoch the epoch in which the message was created
- * @param term the highest lease term known to the speaker, or the child's own term if it claims the lease
+ * @param term the highest lease term known to the representative, or the child's own term if it claims the lease
  * @param claims whether the child claims the lease
  * @param vote the index of the child that this child votes for in this epoch
  * @param commitment the child's commitment of this epoch, or null
@@ -25,7 +25,7 @@
         Level level,
         int group,
         int child,
-        int speaker,
+        int representative,
         int hops,
         int epoch,
         int term,
@@ -40,7 +40,20 @@
     /** Returns a copy without the commitment of the previous epoch. */
     GroupMessage withoutPreviousCommitment() {
         return new GroupMessage(
-                level, group, child, speaker, hops, epoch, term, claims, vote, commitment, null, totals, loads, digest);
+                level,
+                group,
+                child,
+                representative,
+                hops,
+                epoch,
+                term,
+                claims,
+                vote,
+                commitment,
+                null,
+                totals,
+                loads,
+                digest);
     }
 
     /** Returns a copy without the loads of the child and of the digest. */
@@ -50,7 +63,7 @@
                 level,
                 group,
                 child,
-                speaker,
+                representative,
                 hops,
                 epoch,
                 term,
--- a/tier/src/main/java/baymoor/tier/message/MessageCodec.java
+++ b/tier/src/main/java/baymoor/tier/message/MessageCodec.java
@@ -18,7 +18,7 @@
     public static final byte VERSION = 2;
     /** The maximum size of a datagram in bytes. */
     public static final int MAX_DATAGRAM_BYTES = 256;
-    /** The maximum number of times a message is forwarded to a newer speaker. */
+    /** The maximum number of times a message is forwarded to a newer representative. */
     public static final int MOST_HOPS = 3;
 
     private static final int FLAGS_OFFSET = 1;
@@ -63,7 +63,7 @@
         flags |= message.previous() != null ? PREVIOUS_COMMITMENT_FLAG : 0;
         flags |= message.digest() != null ? DIGEST_FLAG : 0;
         out.put(VERSION).put((byte) flags).putShort((short) message.group());
-        out.put((byte) (message.child() | message.vote() << 4)).putShort((short) message.speaker());
+        out.put((byte) (message.child() | message.vote() << 4)).putShort((short) message.representative());
         out.putInt(message.epoch()).putInt(message.term());
         write(out, message.commitment());
         write(out, message.previous());
