--- a/tier/src/main/java/baymoor/tier/exchange/GroupMember.java
+++ b/tier/src/main/java/baymoor/tier/exchange/GroupMember.java
@@ -198,8 +198,8 @@
         digestEpoch = message.epoch();
         digestTerm = message.term();
         int first = message.epoch() + Timing.digestLead(level());
-        setShare(first, digest.nextPart());
-        setShare(first + 1, digest.laterPart());
+        setShare(first, digest.nextShare());
+        setShare(first + 1, digest.followingShare());
         LoadReporter.apply(digest.loads(), routers, outsideLoads);
     }
 
--- a/tier/src/main/java/baymoor/tier/exchange/RepresentativeTable.java
+++ b/tier/src/main/java/baymoor/tier/exchange/RepresentativeTable.java
@@ -35,7 +35,7 @@
     void update(GroupMessage message) {
         representatives[message.level().ordinal()][message.child()] = message.representative();
         if (message.digest() != null && !message.level().isTop()) {
-            updateLevel(message.level().above(), message.digest().speakers());
+            updateLevel(message.level().above(), message.digest().representatives());
         }
     }
 
--- a/tier/src/main/java/baymoor/tier/message/MessageCodec.java
+++ b/tier/src/main/java/baymoor/tier/message/MessageCodec.java
@@ -138,11 +138,11 @@
         if (digest == null) {
             return;
         }
-        out.putInt((int) (digest.nextPart() * SHARE_SCALE)).putInt((int) (digest.laterPart() * SHARE_SCALE));
+        out.putInt((int) (digest.nextShare() * SHARE_SCALE)).putInt((int) (digest.followingShare() * SHARE_SCALE));
         out.putFloat((float) digest.rate());
         write(out, digest.outside());
-        out.put((byte) digest.speakers().size());
-        digest.speakers().forEach(speaker -> out.putShort(speaker.shortValue()));
+        out.put((byte) digest.representatives().size());
+        digest.representatives().forEach(speaker -> out.putShort(speaker.shortValue()));
         write(out, digest.loads());
     }
 
--- a/tier/src/test/java/baymoor/tier/message/MessageCodecTest.java
+++ b/tier/src/test/java/baymoor/tier/message/MessageCodecTest.java
@@ -82,10 +82,10 @@
         if (message.digest() == null) {
             assertEquals(message, decoded);
         } else {
-            assertEquals(0.25, decoded.digest().nextPart(), 1e-9);
-            assertTrue(decoded.digest().nextPart() <= 0.25);
+            assertEquals(0.25, decoded.digest().nextShare(), 1e-9);
+            assertTrue(decoded.digest().nextShare() <= 0.25);
             assertEquals(message.digest().outside(), decoded.digest().outside());
-            assertEquals(message.digest().speakers(), decoded.digest().speakers());
+            assertEquals(message.digest().representatives(), decoded.digest().representatives());
             assertEquals(message.digest().loads(), decoded.digest().loads());
             assertEquals(message.totals(), decoded.totals());
             assertEquals(message.commitment(), decoded.commitment());
