--- a/tier/src/main/java/baymoor/tier/exchange/Exchange.java
+++ b/tier/src/main/java/baymoor/tier/exchange/Exchange.java
@@ -333,12 +333,12 @@
             level--;
         }
         int holder = members[level].election.holder(epoch);
-        if (holder < 0 || holder == members[level].self || message.hops() >= MessageCodec.MOST_HOPS) {
+        if (holder < 0 || holder == members[level].self || message.hops() >= MessageCodec.MAX_HOPS) {
             return;
         }
         counters.forwarded++;
         counters.sent++;
-        out.send(members[level].representative(holder), MessageCodec.passedOn(datagram));
+        out.send(members[level].representative(holder), MessageCodec.forwarded(datagram));
     }
 
     /** Returns this balancer's current share of the tier's allowance, from 0 to 1. */
--- a/tier/src/main/java/baymoor/tier/message/MessageCodec.java
+++ b/tier/src/main/java/baymoor/tier/message/MessageCodec.java
@@ -19,7 +19,7 @@
     /** The maximum size of a datagram in bytes. */
     public static final int MAX_DATAGRAM_BYTES = 256;
     /** The maximum number of times a message is forwarded to a newer representative. */
-    public static final int MOST_HOPS = 3;
+    public static final int MAX_HOPS = 3;
 
     private static final int FLAGS_OFFSET = 1;
     private static final int HOPS_SHIFT = 6;
@@ -90,7 +90,7 @@
     }
 
     /** Returns a copy of an encoded message with the hop count incremented. */
-    public static byte[] passedOn(byte[] datagram) {
+    public static byte[] forwarded(byte[] datagram) {
         byte[] copy = datagram.clone();
         copy[FLAGS_OFFSET] += (byte) (1 << HOPS_SHIFT);
         return copy;
