--- a/tier/src/main/java/baymoor/tier/exchange/GroupMember.java
+++ b/tier/src/main/java/baymoor/tier/exchange/GroupMember.java
@@ -24,7 +24,7 @@
 final class GroupMember {
 
     private static final int NEVER = Integer.MIN_VALUE / 2;
-    private static final Commitment EMPTY_COMMITMENT = new Commitment(0, new int[Places.LARGEST_GROUP]);
+    private static final Commitment EMPTY_COMMITMENT = new Commitment(0, new int[Places.MAX_CHILDREN]);
 
     /** The state of a sibling according to its last message. */
     private static final class Sibling {
@@ -140,7 +140,7 @@
     private int[] transfers(int epoch) {
         int targetEpoch = epoch + Timing.transferLead(level());
         if (!rules.ownsBase(log, self, targetEpoch - Timing.acknowledgementLead(level()))) {
-            return new int[Places.LARGEST_GROUP];
+            return new int[Places.MAX_CHILDREN];
         }
         double[] weights = new double[siblings.length];
         int[] childDraws = new int[siblings.length];
@@ -152,7 +152,7 @@
             hasDemand |= isFresh(child, epoch) && totals.queued() + totals.fetched() > 0;
         }
         // Without any demand every child keeps its base.
-        return hasDemand ? rules.transfers(self, weights, childDraws) : new int[Places.LARGEST_GROUP];
+        return hasDemand ? rules.transfers(self, weights, childDraws) : new int[Places.MAX_CHILDREN];
     }
 
     private boolean isFresh(int child, int epoch) {
--- a/tier/src/main/java/baymoor/tier/exchange/RepresentativeTable.java
+++ b/tier/src/main/java/baymoor/tier/exchange/RepresentativeTable.java
@@ -16,7 +16,7 @@
 
     private final Places places;
     private final int balancer;
-    private final int[][] representatives = new int[Level.COUNT][Places.LARGEST_GROUP];
+    private final int[][] representatives = new int[Level.COUNT][Places.MAX_CHILDREN];
 
     RepresentativeTable(Places places, int balancer) {
         this.places = places;
--- a/tier/src/main/java/baymoor/tier/exchange/ShareRules.java
+++ b/tier/src/main/java/baymoor/tier/exchange/ShareRules.java
@@ -125,7 +125,7 @@
             surplusBefore += surplus(other, weights, target);
         }
         long surplusEnd = surplusBefore + surplus(child, weights, target);
-        int[] transfers = new int[Places.LARGEST_GROUP];
+        int[] transfers = new int[Places.MAX_CHILDREN];
         long deficitBefore = 0;
         for (int other = 0; other < baseUnits.length && deficitBefore < surplusEnd; other++) {
             long deficit = weights[other] > 0 ? Math.max(0, target[other] - baseUnits[other]) : 0;
--- a/tier/src/main/java/baymoor/tier/message/MessageCodec.java
+++ b/tier/src/main/java/baymoor/tier/message/MessageCodec.java
@@ -212,7 +212,7 @@
 
     private static Commitment readCommitment(ByteBuffer in) throws MalformedMessageException {
         int acknowledged = unsignedShort(in);
-        int[] gives = new int[Places.LARGEST_GROUP];
+        int[] gives = new int[Places.MAX_CHILDREN];
         int previousChild = -1;
         for (int count = unsignedByte(in); count > 0; count--) {
             int child = unsignedByte(in);
@@ -264,7 +264,7 @@
         require(isValidQuantity(rate), "rate out of range");
         Totals outside = readTotals(in);
         int count = unsignedByte(in);
-        require(count <= Places.LARGEST_GROUP, "too many speakers");
+        require(count <= Places.MAX_CHILDREN, "too many speakers");
         List<Integer> speakers = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             speakers.add(unsignedShort(in));
--- a/tier/src/main/java/baymoor/tier/place/Places.java
+++ b/tier/src/main/java/baymoor/tier/place/Places.java
@@ -9,7 +9,7 @@
 public final class Places {
 
     /** The maximum number of children of a group; a commitment acknowledges children in 16 bits. */
-    public static final int LARGEST_GROUP = 16;
+    public static final int MAX_CHILDREN = 16;
 
     /**
      * A site as described in the places file.
--- a/tier/src/main/java/baymoor/tier/place/PlacesReader.java
+++ b/tier/src/main/java/baymoor/tier/place/PlacesReader.java
@@ -61,7 +61,7 @@
 
     private final String file;
     private final List<Table> tables = new ArrayList<>();
-    private int largestGroup = Places.LARGEST_GROUP;
+    private int largestGroup = Places.MAX_CHILDREN;
 
     private PlacesReader(String file) {
         this.file = file;
@@ -166,7 +166,7 @@
     private Result buildResult() throws PlacesException {
         Table root = tables.get(0);
         if (root.values().containsKey("largest_group")) {
-            largestGroup = parseInteger(root.values().get("largest_group"), "largest_group", 1, Places.LARGEST_GROUP);
+            largestGroup = parseInteger(root.values().get("largest_group"), "largest_group", 1, Places.MAX_CHILDREN);
         }
         Value balancersValue = root.values().get("balancers");
         if (balancersValue == null) {
--- a/tier/src/test/java/baymoor/tier/exchange/ExchangeExplorationTest.java
+++ b/tier/src/test/java/baymoor/tier/exchange/ExchangeExplorationTest.java
@@ -217,6 +217,6 @@
     }
 
     private static Commitment emptyCommitment() {
-        return new Commitment(0, new int[Places.LARGEST_GROUP]);
+        return new Commitment(0, new int[Places.MAX_CHILDREN]);
     }
 }
--- a/tier/src/test/java/baymoor/tier/exchange/ShareRulesExplorationTest.java
+++ b/tier/src/test/java/baymoor/tier/exchange/ShareRulesExplorationTest.java
@@ -50,7 +50,7 @@
     /** Returns every way to transfer up to {@code maxTotal} units to the other children. */
     private static List<int[]> transferChoices(int self, int children, int maxTotal) {
         List<int[]> all = new ArrayList<>();
-        all.add(new int[Places.LARGEST_GROUP]);
+        all.add(new int[Places.MAX_CHILDREN]);
         for (int to = 0; to < children; to++) {
             if (to == self) {
                 continue;
@@ -69,7 +69,7 @@
     }
 
     private static Commitment acknowledging(int bits) {
-        return new Commitment(bits, new int[Places.LARGEST_GROUP]);
+        return new Commitment(bits, new int[Places.MAX_CHILDREN]);
     }
 
     /**
--- a/tier/src/test/java/baymoor/tier/message/MessageCodecTest.java
+++ b/tier/src/test/java/baymoor/tier/message/MessageCodecTest.java
@@ -20,7 +20,7 @@
     private static final String SEED = "4714";
 
     private static Commitment randomCommitment(Random random, int transfers) {
-        int[] gives = new int[Places.LARGEST_GROUP];
+        int[] gives = new int[Places.MAX_CHILDREN];
         for (int i = 0; i < transfers; i++) {
             gives[random.nextInt(gives.length)] = 1 + random.nextInt(0xffff);
         }
@@ -150,10 +150,10 @@
     @Example
     void largestMessageFitsIntoDatagram() throws Exception {
         Random random = new Random(1);
-        int[] maxTransfers = new int[Places.LARGEST_GROUP];
+        int[] maxTransfers = new int[Places.MAX_CHILDREN];
         Arrays.fill(maxTransfers, 0xffff);
         Commitment full = new Commitment(0xffff, maxTransfers);
-        List<Integer> speakers = new ArrayList<>(java.util.Collections.nCopies(Places.LARGEST_GROUP, 639));
+        List<Integer> speakers = new ArrayList<>(java.util.Collections.nCopies(Places.MAX_CHILDREN, 639));
         Digest digest = new Digest(1, 1, 1, randomTotals(random), speakers, randomLoads(random, 30, 4));
         GroupMessage message = new GroupMessage(
                 Level.REGION,
