--- a/cli/src/main/java/baymoor/cli/PlacesCommand.java
+++ b/cli/src/main/java/baymoor/cli/PlacesCommand.java
@@ -75,7 +75,7 @@
 
     private static String traffic(Places places, int leases) {
         Sizes.Traffic most = IntStream.range(0, places.balancers())
-                .mapToObj(balancer -> Sizes.traffic(places, balancer, leases, USUAL_GIFTS, Timing.USUAL))
+                .mapToObj(balancer -> Sizes.traffic(places, balancer, leases, USUAL_GIFTS, Timing.DEFAULT))
                 .max(Comparator.comparingDouble(Sizes.Traffic::bytes))
                 .orElseThrow();
         return String.format(
--- a/tier/src/main/java/baymoor/tier/exchange/Timing.java
+++ b/tier/src/main/java/baymoor/tier/exchange/Timing.java
@@ -12,7 +12,7 @@
 public record Timing(long epochMicros) {
 
     /** Epochs of one second, the period of the allowance. */
-    public static final Timing USUAL = new Timing(1_000_000);
+    public static final Timing DEFAULT = new Timing(1_000_000);
 
     /** The maximum tolerated difference between the clocks of two machines, for epochs of one second. */
     public static final long MAX_CLOCK_SKEW_MICROS = 200_000;
--- a/tier/src/test/java/baymoor/tier/exchange/ExchangeHarness.java
+++ b/tier/src/test/java/baymoor/tier/exchange/ExchangeHarness.java
@@ -27,7 +27,7 @@
     private record DelayedDatagram(int epoch, int from, int to, byte[] datagram) {}
 
     static final int FIRST_EPOCH = 100;
-    private static final long EPOCH_MICROS = Timing.USUAL.epochMicros();
+    private static final long EPOCH_MICROS = Timing.DEFAULT.epochMicros();
     /** Times of the steps in percent of an epoch: around each time at which a balancer sends. */
     private static final int[] STEP_PERCENTS = {1, 6, 12, 41, 50, 66, 80, 92};
 
@@ -52,7 +52,7 @@
     }
 
     private Exchange startExchange(int balancer, long startMicros) {
-        return new Exchange(places, balancer, balancer, Timing.USUAL, startMicros, rules);
+        return new Exchange(places, balancer, balancer, Timing.DEFAULT, startMicros, rules);
     }
 
     /** Sets a balancer's queued misses, which determine its weight. */
--- a/tier/src/test/java/baymoor/tier/simulation/ScaleComparison.java
+++ b/tier/src/test/java/baymoor/tier/simulation/ScaleComparison.java
@@ -215,7 +215,7 @@
 
     private static double maxTraffic(Places places, int leases, int transfers, boolean messages) {
         return IntStream.range(0, places.balancers())
-                .mapToObj(b -> Sizes.traffic(places, b, leases, transfers, Timing.USUAL))
+                .mapToObj(b -> Sizes.traffic(places, b, leases, transfers, Timing.DEFAULT))
                 .mapToDouble(t -> messages ? t.messages() : t.bytes())
                 .max()
                 .orElseThrow();
--- a/tier/src/test/java/baymoor/tier/simulation/SimulatedTier.java
+++ b/tier/src/test/java/baymoor/tier/simulation/SimulatedTier.java
@@ -73,7 +73,7 @@
         Node node = nodes[balancer];
         node.down = false;
         node.queued = 0;
-        node.exchange = new Exchange(places, balancer, nextSeed++, Timing.USUAL, clockMicros(node));
+        node.exchange = new Exchange(places, balancer, nextSeed++, Timing.DEFAULT, clockMicros(node));
         node.exchange.setRouters(routers);
         node.credits = new Credits(clockMicros(node));
         node.smoothedWeight = EMPTY_QUEUE_WEIGHT;
