--- a/cli/src/main/java/baymoor/cli/PlacesCommand.java
+++ b/cli/src/main/java/baymoor/cli/PlacesCommand.java
@@ -1,7 +1,7 @@
 package baymoor.cli;
 
-import baymoor.tier.exchange.Sizes;
 import baymoor.tier.exchange.Timing;
+import baymoor.tier.exchange.TrafficEstimate;
 import baymoor.tier.place.Group;
 import baymoor.tier.place.Level;
 import baymoor.tier.place.Places;
@@ -74,9 +74,9 @@
     }
 
     private static String traffic(Places places, int leases) {
-        Sizes.Traffic most = IntStream.range(0, places.balancers())
-                .mapToObj(balancer -> Sizes.traffic(places, balancer, leases, USUAL_GIFTS, Timing.DEFAULT))
-                .max(Comparator.comparingDouble(Sizes.Traffic::bytes))
+        TrafficEstimate.Traffic most = IntStream.range(0, places.balancers())
+                .mapToObj(balancer -> TrafficEstimate.traffic(places, balancer, leases, USUAL_GIFTS, Timing.DEFAULT))
+                .max(Comparator.comparingDouble(TrafficEstimate.Traffic::bytes))
                 .orElseThrow();
         return String.format(
                 Locale.ROOT,
@@ -84,6 +84,6 @@
                 leases,
                 most.messages(),
                 most.bytes() / KILO,
-                Sizes.BUDGET_BYTES_PER_SECOND / KILO);
+                TrafficEstimate.BUDGET_BYTES_PER_SECOND / KILO);
     }
 }
--- a/tier/src/main/java/baymoor/tier/exchange/Exchange.java
+++ b/tier/src/main/java/baymoor/tier/exchange/Exchange.java
@@ -71,7 +71,8 @@
         for (int level = 0; level < Level.COUNT; level++) {
             lastSentEpoch[level] = timing.epoch(nowMicros);
             lastHeldEpoch[level] = NEVER;
-            outsideReporters[level] = new LoadReporter(Sizes.OUTSIDE_TAGGED_LOADS, Sizes.OUTSIDE_RUN_LENGTH);
+            outsideReporters[level] =
+                    new LoadReporter(TrafficEstimate.OUTSIDE_TAGGED_LOADS, TrafficEstimate.OUTSIDE_RUN_LENGTH);
         }
         members[0] = createMember(Level.SITE);
     }
--- a/tier/src/main/java/baymoor/tier/exchange/GroupMember.java
+++ b/tier/src/main/java/baymoor/tier/exchange/GroupMember.java
@@ -69,8 +69,8 @@
         Arrays.setAll(siblings, child -> new Sibling());
         Arrays.fill(digestShareEpochs, NEVER);
         loadReporter = group.level() == Level.SITE
-                ? new LoadReporter(Sizes.MEMBER_TAGGED_LOADS, Sizes.MEMBER_RUN_LENGTH)
-                : new LoadReporter(Sizes.GROUP_TAGGED_LOADS, Sizes.GROUP_RUN_LENGTH);
+                ? new LoadReporter(TrafficEstimate.MEMBER_TAGGED_LOADS, TrafficEstimate.MEMBER_RUN_LENGTH)
+                : new LoadReporter(TrafficEstimate.GROUP_TAGGED_LOADS, TrafficEstimate.GROUP_RUN_LENGTH);
         if (group.level() == Level.SITE) {
             Arrays.setAll(siblings, child -> {
                 Sibling sibling = new Sibling();
--- a/tier/src/main/java/baymoor/tier/exchange/Sizes.java
+++ b/tier/src/main/java/baymoor/tier/exchange/TrafficEstimate.java
@@ -8,7 +8,7 @@
  * Limits on the contents of messages, and an estimate of the traffic that follows from them. The limits keep a balancer that
  * holds the leases of its site, zone and region at once within the budget in a tier of 640 balancers at 49 sites.
  */
-public final class Sizes {
+public final class TrafficEstimate {
 
     /** Bytes of a datagram's IPv4 and UDP headers. */
     public static final int HEADER_BYTES = 28;
@@ -43,7 +43,7 @@
         }
     }
 
-    private Sizes() {}
+    private TrafficEstimate() {}
 
     /** Returns the bytes of a message at a level without a digest, with the given number of transfers and full load reports. */
     static int messageBytes(Level level, int transfers) {
--- a/tier/src/test/java/baymoor/tier/simulation/Network.java
+++ b/tier/src/test/java/baymoor/tier/simulation/Network.java
@@ -1,6 +1,6 @@
 package baymoor.tier.simulation;
 
-import baymoor.tier.exchange.Sizes;
+import baymoor.tier.exchange.TrafficEstimate;
 import baymoor.tier.place.Level;
 import baymoor.tier.place.Places;
 import java.util.Comparator;
@@ -66,7 +66,7 @@
 
     public void send(long nowMicros, int from, int to, byte[] datagram) {
         sentMessages[from]++;
-        sentBytes[from] += datagram.length + Sizes.HEADER_BYTES;
+        sentBytes[from] += datagram.length + TrafficEstimate.HEADER_BYTES;
         if (faults.blocked.test(from, to) || random.nextDouble() < faults.loss) {
             return;
         }
@@ -88,7 +88,7 @@
         while (nextMicros() <= nowMicros) {
             Arrival arrival = arrivals.poll();
             receivedMessages[arrival.to()]++;
-            receivedBytes[arrival.to()] += arrival.datagram().length + Sizes.HEADER_BYTES;
+            receivedBytes[arrival.to()] += arrival.datagram().length + TrafficEstimate.HEADER_BYTES;
             receiver.receive(arrival.from(), arrival.to(), arrival.datagram());
         }
     }
--- a/tier/src/test/java/baymoor/tier/simulation/ScaleComparison.java
+++ b/tier/src/test/java/baymoor/tier/simulation/ScaleComparison.java
@@ -1,8 +1,8 @@
 package baymoor.tier.simulation;
 
 import baymoor.tier.exchange.RouterList;
-import baymoor.tier.exchange.Sizes;
 import baymoor.tier.exchange.Timing;
+import baymoor.tier.exchange.TrafficEstimate;
 import baymoor.tier.place.Level;
 import baymoor.tier.place.Places;
 import java.util.ArrayList;
@@ -215,7 +215,7 @@
 
     private static double maxTraffic(Places places, int leases, int transfers, boolean messages) {
         return IntStream.range(0, places.balancers())
-                .mapToObj(b -> Sizes.traffic(places, b, leases, transfers, Timing.DEFAULT))
+                .mapToObj(b -> TrafficEstimate.traffic(places, b, leases, transfers, Timing.DEFAULT))
                 .mapToDouble(t -> messages ? t.messages() : t.bytes())
                 .max()
                 .orElseThrow();
--- a/tier/src/test/java/baymoor/tier/simulation/TrafficTest.java
+++ b/tier/src/test/java/baymoor/tier/simulation/TrafficTest.java
@@ -3,8 +3,8 @@
 import static org.junit.Assert.assertTrue;
 
 import baymoor.tier.exchange.RouterList;
-import baymoor.tier.exchange.Sizes;
 import baymoor.tier.exchange.Timing;
+import baymoor.tier.exchange.TrafficEstimate;
 import baymoor.tier.place.Level;
 import baymoor.tier.place.Places;
 import java.util.stream.LongStream;
@@ -23,9 +23,9 @@
         for (int balancers : new int[] {1, 2, 13, 20, 100, 160, 320, 640}) {
             Places places = TestPlaces.of(balancers);
             for (int b = 0; b < balancers; b++) {
-                double bytes = Sizes.traffic(places, b, Level.COUNT - 1, TRANSFERS, Timing.DEFAULT)
+                double bytes = TrafficEstimate.traffic(places, b, Level.COUNT - 1, TRANSFERS, Timing.DEFAULT)
                         .bytes();
-                assertTrue(balancers + " balancers: " + bytes, bytes < Sizes.BUDGET_BYTES_PER_SECOND);
+                assertTrue(balancers + " balancers: " + bytes, bytes < TrafficEstimate.BUDGET_BYTES_PER_SECOND);
             }
         }
     }
@@ -44,7 +44,7 @@
         tier.advance(10 * SECOND);
         for (int b = 0; b < 160; b++) {
             int leases = tier.exchange(b).heldLeases(tier.nowMicros);
-            Sizes.Traffic estimate = Sizes.traffic(places, b, leases, TRANSFERS, Timing.DEFAULT);
+            TrafficEstimate.Traffic estimate = TrafficEstimate.traffic(places, b, leases, TRANSFERS, Timing.DEFAULT);
             double messages = (tier.network.sentMessages[b] + tier.network.receivedMessages[b]) / 10.0;
             double bytes = (tier.network.sentBytes[b] + tier.network.receivedBytes[b]) / 10.0;
             assertTrue(b + ": " + messages + " of " + estimate, Math.abs(messages - estimate.messages()) <= 0.5);
