--- a/tier/src/test/java/baymoor/tier/simulation/ScaleComparison.java
+++ b/tier/src/test/java/baymoor/tier/simulation/ScaleComparison.java
@@ -88,7 +88,7 @@
         double allowed = ALLOWANCE_PER_BALANCER * places.balancers();
         FullMesh mesh = new FullMesh(places, ROUTERS, HITS_PER_SECOND, allowed, seed);
         for (int b = 0; b < places.balancers(); b++) {
-            mesh.misses(b, missRate(b));
+            mesh.setMissRate(b, missRate(b));
         }
         return mesh;
     }
@@ -170,7 +170,7 @@
                 mesh.controlNanos = 0;
             }
             mesh.fetchesThisSecond = 0;
-            mesh.pass(SECOND);
+            mesh.advance(SECOND);
             double allowance = mesh.allowance();
             if (second >= SETTLING_SECONDS) {
                 for (int pair = 0; pair < SAMPLED_PAIRS / MEASURED_SECONDS; pair++) {
--- a/tier/src/test/java/merlinstep/FullMesh.java
+++ b/tier/src/test/java/merlinstep/FullMesh.java
@@ -110,7 +110,7 @@
         nodes[balancer].down = true;
     }
 
-    public void misses(int balancer, double perSecond) {
+    public void setMissRate(int balancer, double perSecond) {
         nodes[balancer].missesPerSecond = perSecond;
     }
 
@@ -181,7 +181,7 @@
     }
 
     /** Advances virtual time by {@code micros}, rounded up to whole steps. */
-    public void pass(long micros) {
+    public void advance(long micros) {
         for (long end = now + micros; now < end; ) {
             now += STEP_MICROS;
             network.deliver(now, this::receive);
