--- a/balancer/src/test/java/baymoor/FakeLink.java
+++ b/balancer/src/test/java/baymoor/FakeLink.java
@@ -10,7 +10,7 @@
     public LinkEvents events;
     public boolean closed;
     /** Whether a write reports {@link LinkEvents#written} at once. */
-    public boolean leaves;
+    public boolean flushesImmediately;
 
     public boolean reading = true;
     public boolean unread;
@@ -19,7 +19,7 @@
     @Override
     public void write(byte[] bytes) {
         out.append(new String(bytes, StandardCharsets.ISO_8859_1));
-        if (events != null && leaves) {
+        if (events != null && flushesImmediately) {
             events.written();
         }
     }
@@ -55,12 +55,12 @@
     }
 
     /** Delivers bytes to the state machine. */
-    public void in(String text) {
+    public void receive(String text) {
         events.received(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
     /** Returns what was written since the last call. */
-    public String takeOut() {
+    public String takeWritten() {
         String text = out.toString();
         out.setLength(0);
         return text;
--- a/balancer/src/test/java/baymoor/dispatch/DispatcherTest.java
+++ b/balancer/src/test/java/baymoor/dispatch/DispatcherTest.java
@@ -116,11 +116,11 @@
                 sink.accept(new Send(r.id(), 1, 0));
             }
         };
-        client.in(GET);
+        client.receive(GET);
         links.get(0).events.opened();
         links.get(0).events.written();
-        links.get(0).in(ANSWER);
-        assertEquals("$1\r\nv\r\n", client.takeOut());
+        links.get(0).receive(ANSWER);
+        assertEquals("$1\r\nv\r\n", client.takeWritten());
         assertEquals("[0 SERVED done]", attemptEnds());
     }
 
@@ -139,7 +139,7 @@
                 sink.accept(new Send(e.request(), 9, 0));
             }
         };
-        client.in(GET);
+        client.receive(GET);
         assertEquals("[0 NOT_SENT, 1 NOT_SENT, 2 NOT_SENT]", attemptEnds());
         assertTrue(links.isEmpty());
     }
@@ -153,8 +153,8 @@
                 sink.accept(new Send(r.id(), 1, 0));
             }
         };
-        client.in(GET);
-        assertEquals("-BUSY\r\n", client.takeOut());
+        client.receive(GET);
+        assertEquals("-BUSY\r\n", client.takeWritten());
         assertTrue(links.isEmpty());
         assertEquals(2, counters.get(Count.ACTIONS_IGNORED));
     }
@@ -166,10 +166,10 @@
                 sink.accept(new Send(r.id(), 1, 0));
             }
         };
-        client.in(GET);
+        client.receive(GET);
         client.events.closed();
         links.get(0).events.opened();
-        assertEquals("", links.get(0).takeOut());
+        assertEquals("", links.get(0).takeWritten());
         assertEquals("[0 NOT_SENT done]", attemptEnds());
     }
 
@@ -181,11 +181,11 @@
                 sink.accept(new Send(r.id(), 1, 0));
             }
         };
-        client.in(GET);
+        client.receive(GET);
         links.get(0).events.opened();
-        assertEquals("", links.get(0).takeOut());
+        assertEquals("", links.get(0).takeWritten());
         assertEquals("[0 NOT_SENT done]", attemptEnds());
-        client.in(GET.replace("i\r", "j\r"));
+        client.receive(GET.replace("i\r", "j\r"));
         assertEquals(
                 "commands read after the close are not accepted",
                 1,
@@ -202,15 +202,15 @@
                 sink.accept(e.attempt() == 0 ? new Send(e.request(), 1, 0) : new Refuse(e.request(), 0));
             }
         };
-        client.in(GET);
-        client.in(GET.replace("i\r", "j\r"));
+        client.receive(GET);
+        client.receive(GET.replace("i\r", "j\r"));
         client.over = true;
         links.get(0).events.opened();
         links.get(1).events.opened();
         assertEquals("[0 NOT_SENT done, 0 NOT_SENT done]", attemptEnds());
         client.events.closed();
         time.pass(0);
-        assertEquals("", links.get(0).takeOut() + links.get(1).takeOut() + client.takeOut());
+        assertEquals("", links.get(0).takeWritten() + links.get(1).takeWritten() + client.takeWritten());
         assertEquals(2, counters.get(Count.REQUESTS_GONE));
         assertEquals(0, counters.get(Count.REFUSED));
         assertEquals(1, counters.get(Count.CLIENTS_CLOSED));
@@ -237,7 +237,7 @@
         };
         for (String[] c : cases) {
             int firstLink = links.size();
-            client.in(GET.replace("12\r\nc=read", c[0].length() + 8 + "\r\nc=" + c[0]));
+            client.receive(GET.replace("12\r\nc=read", c[0].length() + 8 + "\r\nc=" + c[0]));
             links.get(firstLink).events.opened();
             links.get(firstLink).events.written();
             links.get(firstLink).events.closed();
@@ -245,7 +245,9 @@
             FakeLink second = links.get(firstLink + 1);
             second.events.opened();
             assertEquals(
-                    c[0] + " after " + c[1], !c[2].isEmpty(), !second.takeOut().isEmpty());
+                    c[0] + " after " + c[1],
+                    !c[2].isEmpty(),
+                    !second.takeWritten().isEmpty());
             second.events.written();
             second.events.closed();
             client.events.closed();
@@ -259,8 +261,8 @@
         stub = (event, sink) -> {
             throw new IllegalStateException("thrown by the test");
         };
-        client.in(GET);
-        assertEquals("-ERR failed\r\n", client.takeOut());
+        client.receive(GET);
+        assertEquals("-ERR failed\r\n", client.takeWritten());
         dispatcher.accept(new SetTimer(7, 1000));
         time.pass(200_000);
         assertTrue(
@@ -272,8 +274,8 @@
     @Test
     public void requestIsRejectedAtOnceWhileTheListIsStale() {
         dispatcher.setListFreshnessCheck(() -> false);
-        client.in(GET);
-        assertEquals("-BUSY\r\n", client.takeOut());
+        client.receive(GET);
+        assertEquals("-BUSY\r\n", client.takeWritten());
         time.pass(2_000_000);
         assertEquals("the decision module gets no event", List.of(), delivered);
         assertEquals(1, counters.get(Count.REFUSED));
@@ -291,10 +293,10 @@
                 sink.accept(new Send(Long.toString(t.token()), 1, 0));
             }
         };
-        client.in(GET);
+        client.receive(GET);
         listFresh[0] = false;
         time.pass(100_000);
-        assertEquals("-BUSY\r\n", client.takeOut());
+        assertEquals("-BUSY\r\n", client.takeWritten());
         assertEquals("[0 NOT_SENT done]", attemptEnds());
         assertTrue(links.isEmpty());
         assertEquals(0, counters.get(Count.ACTIONS_IGNORED));
@@ -311,13 +313,13 @@
                 sink.accept(new Send(e.request(), 2, 0));
             }
         };
-        client.in(GET);
+        client.receive(GET);
         links.get(0).events.opened();
         links.get(0).events.written();
         listFresh[0] = false;
         links.get(0).events.closed();
         time.pass(0);
-        String answer = client.takeOut();
+        String answer = client.takeWritten();
         assertTrue(answer, answer.startsWith("-") && !answer.startsWith("-BUSY"));
         assertEquals("[0 RESET, 1 NOT_SENT done]", attemptEnds());
         assertEquals(1, links.size());
@@ -332,10 +334,10 @@
                 sink.accept(new Send(r.id(), 1, 0));
             }
         };
-        client.in(GET);
+        client.receive(GET);
         listFresh[0] = false;
         links.get(0).events.opened();
-        assertEquals("", links.get(0).takeOut());
+        assertEquals("", links.get(0).takeWritten());
         assertEquals("[0 NOT_SENT]", attemptEnds());
     }
 }
--- a/balancer/src/test/java/baymoor/inventory/ContinuousWatchTest.java
+++ b/balancer/src/test/java/baymoor/inventory/ContinuousWatchTest.java
@@ -56,13 +56,13 @@
     }
 
     private static void sendLine(FakeLink link, String text) {
-        link.in(Integer.toHexString(text.length() + 1) + "\r\n" + text + "\n\r\n");
+        link.receive(Integer.toHexString(text.length() + 1) + "\r\n" + text + "\n\r\n");
     }
 
     private FakeLink acceptLastCall() {
         FakeLink link = lastLink();
         link.events.opened();
-        link.in("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+        link.receive("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         return link;
     }
 
@@ -88,9 +88,9 @@
         link.events.closed();
         time.pass(0);
         assertEquals(2, links.size());
-        assertTrue(lastLink().takeOut().isEmpty());
+        assertTrue(lastLink().takeWritten().isEmpty());
         lastLink().events.opened();
-        assertTrue(lastLink().takeOut().contains("watch=1&from=10"));
+        assertTrue(lastLink().takeWritten().contains("watch=1&from=10"));
         assertEquals("no failure is reported", 1, events.size());
     }
 
@@ -173,8 +173,8 @@
         assertEquals(1, counters.get(Count.INVENTORY_BAD));
         assertEquals(2, links.size());
         lastLink().events.opened();
-        assertTrue(lastLink().takeOut().startsWith("GET /v1/servers HTTP"));
-        lastLink().in("HTTP/1.1 200 OK\r\n\r\n" + list(12, true, entry("s-b", "in_service")));
+        assertTrue(lastLink().takeWritten().startsWith("GET /v1/servers HTTP"));
+        lastLink().receive("HTTP/1.1 200 OK\r\n\r\n" + list(12, true, entry("s-b", "in_service")));
         lastLink().events.closed();
         assertEquals(State.GONE, state("s-a"));
         assertEquals(State.RUNNING, state("s-b"));
@@ -219,7 +219,7 @@
         assertEquals(State.DRAINING, state("s-a"));
         assertEquals(State.RUNNING, state("s-b"));
         lastLink().events.opened();
-        lastLink().in("HTTP/1.1 200 OK\r\n\r\n" + malformed);
+        lastLink().receive("HTTP/1.1 200 OK\r\n\r\n" + malformed);
         lastLink().events.closed();
         assertEquals("WHOLE", lastEventKind());
         assertEquals(State.GONE, state("s-b"));
@@ -230,9 +230,9 @@
     @Test
     public void unfinishedLineCountsAsIdle() {
         FakeLink link = attend(entry("s-a", "in_service"));
-        link.in("fffff\r\n");
+        link.receive("fffff\r\n");
         for (int i = 0; i < 40; i++) {
-            link.in("{\"index\"");
+            link.receive("{\"index\"");
             time.pass(100_000);
         }
         assertEquals("another watch call was made", 2, links.size());
@@ -248,7 +248,7 @@
         }
         assertEquals(7, links.size());
         lastLink().events.opened();
-        lastLink().in("HTTP/1.1 200 OK\r\n\r\n" + list(11, true, entry("s-a", "terminating")));
+        lastLink().receive("HTTP/1.1 200 OK\r\n\r\n" + list(11, true, entry("s-a", "terminating")));
         lastLink().events.closed();
         time.pass(10_000);
         assertEquals(State.DRAINING, state("s-a"));
--- a/balancer/src/test/java/baymoor/inventory/DiscoveryPacingTest.java
+++ b/balancer/src/test/java/baymoor/inventory/DiscoveryPacingTest.java
@@ -75,7 +75,7 @@
     private FakeLink establishWatch() {
         requestWatchAndAwaitCall();
         lastLink().events.opened();
-        lastLink().in(OK_HEADERS + wholeListChunk(3));
+        lastLink().receive(OK_HEADERS + wholeListChunk(3));
         return lastLink();
     }
 
@@ -102,7 +102,7 @@
         for (int i = 0; i < 40; i++) {
             delays.add(requestWatchAndAwaitCall());
             lastLink().events.opened();
-            lastLink().in(REJECTED);
+            lastLink().receive(REJECTED);
         }
         assertTrue(delays.toString(), delays.get(0) <= 2 * SECOND);
         double mean = delays.subList(8, 40).stream()
@@ -139,7 +139,7 @@
         for (int i = 0; i < 6; i++) {
             requestWatchAndAwaitCall();
             lastLink().events.opened();
-            lastLink().in(REJECTED);
+            lastLink().receive(REJECTED);
         }
         discovery.watch(true);
         int callsBefore = links.size();
@@ -154,7 +154,7 @@
         }
         assertTrue(time.now() - since + " us", time.now() - since <= 8 * SECOND);
         lastLink().events.opened();
-        lastLink().in(REJECTED);
+        lastLink().receive(REJECTED);
         discovery.watch(true);
         callsBefore = links.size();
         discovery.peerConfirmedList();
@@ -166,12 +166,12 @@
     public void watchConfirmsTheListOnceItHasDeliveredIt() {
         requestWatchAndAwaitCall();
         lastLink().events.opened();
-        lastLink().in(OK_HEADERS);
+        lastLink().receive(OK_HEADERS);
         assertFalse("headers alone confirm nothing", confirmation.isConfirmed());
-        lastLink().in(wholeListChunk(3));
+        lastLink().receive(wholeListChunk(3));
         assertTrue(confirmation.hasLiveWatch());
         time.pass(2 * SECOND);
-        lastLink().in(chunk("\n"));
+        lastLink().receive(chunk("\n"));
         assertEquals("a heartbeat confirms the list", time.now(), confirmation.lastCompleteMicros());
     }
 
@@ -180,14 +180,17 @@
         FakeLink watch = establishWatch();
         long completeMicros = confirmation.lastCompleteMicros();
         time.pass(SECOND);
-        watch.in(chunk("nonsense\n") + chunk("\n"));
+        watch.receive(chunk("nonsense\n") + chunk("\n"));
         assertEquals(completeMicros, confirmation.lastCompleteMicros());
         long requestedMicros = time.now();
         time.pass(SECOND);
         lastLink().events.opened();
-        lastLink().in("HTTP/1.1 200 OK\r\nContent-Length: 42\r\n\r\n{\"index\":5,\"snapshot\":true,\"endpoints\":[]}");
+        lastLink()
+                .receive("HTTP/1.1 200 OK\r\n"
+                        + "Content-Length: 42\r\n\r\n"
+                        + "{\"index\":5,\"snapshot\":true,\"endpoints\":[]}");
         assertEquals("as of the request", requestedMicros, confirmation.lastCompleteMicros());
-        watch.in(chunk("\n"));
+        watch.receive(chunk("\n"));
         assertEquals(time.now(), confirmation.lastCompleteMicros());
     }
 
@@ -218,7 +221,7 @@
         requestWatchAndAwaitCall();
         lastLink().events.opened();
         time.pass(3 * SECOND);
-        lastLink().in(REJECTED);
+        lastLink().receive(REJECTED);
         time.pass(4 * SECOND);
         assertFalse(confirmation.isFresh(time.now()));
     }
--- a/balancer/src/test/java/baymoor/inventory/InventoryTest.java
+++ b/balancer/src/test/java/baymoor/inventory/InventoryTest.java
@@ -60,7 +60,7 @@
         discovery.watch(true);
         FakeLink link = links.get(links.size() - 1);
         link.events.opened();
-        link.in(OK_HEADERS);
+        link.receive(OK_HEADERS);
         return link;
     }
 
@@ -132,12 +132,12 @@
     @Test
     public void watchIsParsedFromFragmentsOfAnySize() {
         FakeLink link = establishWatch();
-        assertTrue(link.takeOut().startsWith("GET /v1/servers?watch=1&from=0 HTTP/1.1\r\n"));
+        assertTrue(link.takeWritten().startsWith("GET /v1/servers?watch=1&from=0 HTTP/1.1\r\n"));
         String text = chunk(list(1, true, entry("s-a", "in_service", 0)) + "\n")
                 + chunk("\n")
                 + chunk(list(2, false, entry("s-a", "terminating", 0)) + "\n");
         for (char c : text.toCharArray()) {
-            link.in(String.valueOf(c));
+            link.receive(String.valueOf(c));
         }
         assertEquals("[WHOLE, CHANGES]", takeEventKinds());
         assertEquals(2, inventory.version());
@@ -149,7 +149,7 @@
         assertEquals("[FAILED]", takeEventKinds());
         FakeLink idleWatch = establishWatch();
         time.pass(2_400_000);
-        idleWatch.in(chunk("\n"));
+        idleWatch.receive(chunk("\n"));
         time.pass(2_400_000);
         assertEquals("[]", takeEventKinds());
         time.pass(200_000);
@@ -158,7 +158,7 @@
         assertEquals("[FAILED]", takeEventKinds());
         discovery.watch(true);
         links.get(2).events.opened();
-        links.get(2).in("HTTP/1.1 503 busy\r\nContent-Length: 0\r\n\r\n");
+        links.get(2).receive("HTTP/1.1 503 busy\r\nContent-Length: 0\r\n\r\n");
         assertEquals("[FAILED]", takeEventKinds());
         discovery.watch(true);
         for (int i = 4; i < 6; i++) {
@@ -181,7 +181,7 @@
         assertEquals(2, links.size());
         assertFalse("the first call stays open", links.get(0).closed);
         links.get(1).events.opened();
-        links.get(1).in(OK_HEADERS + chunk(list(1, true) + "\n"));
+        links.get(1).receive(OK_HEADERS + chunk(list(1, true) + "\n"));
         assertTrue(links.get(0).closed);
         assertEquals("[WHOLE]", takeEventKinds());
         links.get(0).events.closed();
@@ -200,7 +200,7 @@
         assertTrue(links.size() + " calls", links.size() >= 29 && links.size() <= 31);
         FakeLink last = links.get(links.size() - 1);
         last.events.opened();
-        last.in("HTTP/1.1 503 busy\r\nContent-Length: 0\r\n\r\n");
+        last.receive("HTTP/1.1 503 busy\r\nContent-Length: 0\r\n\r\n");
         assertEquals("the other call is still pending", "[]", takeEventKinds());
         links.stream().filter(l -> !l.closed).forEach(l -> l.events.closed());
         assertEquals("[FAILED]", takeEventKinds());
@@ -214,14 +214,14 @@
         time.pass(2_600_000);
         assertEquals("[FAILED]", takeEventKinds());
         assertFalse(idleWatch.closed);
-        idleWatch.in(chunk(list(3, false, entry("s-a", "terminating", 0)) + "\n"));
+        idleWatch.receive(chunk(list(3, false, entry("s-a", "terminating", 0)) + "\n"));
         assertEquals("[CHANGES]", takeEventKinds());
         time.pass(2_600_000);
         assertEquals("idle again, and reported again", "[FAILED]", takeEventKinds());
         time.pass(9_000_000);
         assertEquals("reported once", "[]", takeEventKinds());
         FakeLink newWatch = establishWatch();
-        assertTrue(newWatch.takeOut().contains("from=3"));
+        assertTrue(newWatch.takeWritten().contains("from=3"));
         assertTrue(idleWatch.closed);
         idleWatch.events.closed();
         assertEquals("[]", takeEventKinds());
@@ -234,7 +234,7 @@
         String second = new org.json.JSONObject(list(8, false, entry("s-a}\\\"{", "terminating", 0))).toString(0);
         String third = new org.json.JSONObject(list(9, false, entry("s-b", "in_service", 0))).toString(1);
         for (String piece : (first + "\n\n" + second + "\n" + third + "\n\n").split("(?<=\n)")) {
-            link.in(chunk(piece));
+            link.receive(chunk(piece));
         }
         assertEquals("[WHOLE, CHANGES, CHANGES]", takeEventKinds());
         assertEquals(9, inventory.version());
@@ -259,7 +259,7 @@
         int version = 10;
         for (String text : malformedTexts) {
             long badBefore = counters.get(Count.INVENTORY_BAD);
-            link.in(chunk(text) + chunk(list(++version, false) + "\n"));
+            link.receive(chunk(text) + chunk(list(++version, false) + "\n"));
             assertEquals(text, version, inventory.version());
             assertEquals(text, badBefore + 1, counters.get(Count.INVENTORY_BAD));
         }
@@ -269,16 +269,17 @@
     @Test
     public void addressChangeKeepsTheOldWatchUntilTheNewOneIsEstablished() {
         FakeLink oldWatch = establishWatch();
-        oldWatch.in(chunk(list(7, true, entry("s-a", "in_service", 0)) + "\n"));
+        oldWatch.receive(chunk(list(7, true, entry("s-a", "in_service", 0)) + "\n"));
         discovery.changeAddress(new InetSocketAddress("127.0.0.1", 2));
         FakeLink newWatch = links.get(1);
         newWatch.events.opened();
-        assertTrue(newWatch.takeOut().startsWith("GET /v1/servers?watch=1&from=7 HTTP/1.1\r\nHost: 127.0.0.1:2\r\n"));
+        assertTrue(
+                newWatch.takeWritten().startsWith("GET /v1/servers?watch=1&from=7 HTTP/1.1\r\nHost: 127.0.0.1:2\r\n"));
         assertFalse(oldWatch.closed);
-        oldWatch.in(chunk(list(8, false, entry("s-a", "terminating", 0)) + "\n"));
-        newWatch.in(OK_HEADERS);
+        oldWatch.receive(chunk(list(8, false, entry("s-a", "terminating", 0)) + "\n"));
+        newWatch.receive(OK_HEADERS);
         assertTrue(oldWatch.closed);
-        newWatch.in(chunk(list(9, false, entry("s-a", "in_service", 0)) + "\n"));
+        newWatch.receive(chunk(list(9, false, entry("s-a", "in_service", 0)) + "\n"));
         assertEquals("[WHOLE, CHANGES, CHANGES]", takeEventKinds());
         newWatch.events.closed();
         assertEquals("[FAILED]", takeEventKinds());
@@ -295,7 +296,7 @@
         discovery.watch(true);
         assertEquals("the pending call is used", 3, links.size());
         links.get(2).events.opened();
-        links.get(2).in(OK_HEADERS + chunk(list(1, true) + "\n"));
+        links.get(2).receive(OK_HEADERS + chunk(list(1, true) + "\n"));
         assertEquals("[WHOLE]", takeEventKinds());
         time.pass(2_400_000);
         assertEquals("[]", takeEventKinds());
@@ -319,12 +320,12 @@
     @Test
     public void malformedLinesAreSkippedAndTheListIsFetchedOnce() {
         FakeLink link = establishWatch();
-        link.in(chunk("nonsense\n") + chunk("{\"index\":\n") + chunk(list(3, false) + "\n"));
+        link.receive(chunk("nonsense\n") + chunk("{\"index\":\n") + chunk(list(3, false) + "\n"));
         assertEquals("[CHANGES]", takeEventKinds());
         assertEquals(2, counters.get(Count.INVENTORY_BAD));
         assertEquals("one call for both lines", 2, links.size());
         links.get(1).events.opened();
-        links.get(1).in("HTTP/1.1 200 OK\r\n\r\n" + list(4, true, entry("s-a", "in_service", 0)));
+        links.get(1).receive("HTTP/1.1 200 OK\r\n\r\n" + list(4, true, entry("s-a", "in_service", 0)));
         links.get(1).events.closed();
         assertEquals(ListKind.WHOLE, events.get(0).kind());
     }
--- a/balancer/src/test/java/baymoor/north/NorthTest.java
+++ b/balancer/src/test/java/baymoor/north/NorthTest.java
@@ -46,7 +46,7 @@
 
     @Before
     public void connect() {
-        link.leaves = true;
+        link.flushesImmediately = true;
         link.events = north.accept(link);
     }
 
@@ -85,8 +85,8 @@
             {getCommand("open"), "-ERR id is in use\r\n"},
         };
         for (String[] c : cases) {
-            link.in(c[0]);
-            assertEquals(c[0], c[1], link.takeOut());
+            link.receive(c[0]);
+            assertEquals(c[0], c[1], link.takeWritten());
         }
         assertFalse(link.closed);
         assertTrue(received.isEmpty());
@@ -94,35 +94,35 @@
 
     @Test
     public void protocolErrorIsReportedAndClosesTheConnection() {
-        link.in("GET / HTTP/1.1\r\n");
-        assertEquals("-ERR Protocol error: expected '*'\r\n", link.takeOut());
+        link.receive("GET / HTTP/1.1\r\n");
+        assertEquals("-ERR Protocol error: expected '*'\r\n", link.takeWritten());
         assertTrue(link.closed);
     }
 
     @Test
     public void repliesAreSentOnceAndInCommandOrder() {
-        link.in(getCommand("a") + getCommand("b") + command("PING"));
+        link.receive(getCommand("a") + getCommand("b") + command("PING"));
         assertEquals(2, received.size());
         assertTrue(north.answer(2, new Answer.Served(new byte[] {'v'})));
-        assertEquals("", link.takeOut());
+        assertEquals("", link.takeWritten());
         assertTrue(north.answer(1, new Answer.BackOff(1500)));
-        assertEquals("-BUSY 2\r\n$1\r\nv\r\n+PONG\r\n", link.takeOut());
+        assertEquals("-BUSY 2\r\n$1\r\nv\r\n+PONG\r\n", link.takeWritten());
         assertFalse(north.answer(1, new Answer.Failed()));
-        assertEquals("", link.takeOut());
+        assertEquals("", link.takeWritten());
     }
 
     @Test
     public void unansweredRequestFailsAfterItsDeadlineAndIsAbandoned() {
-        link.in(getCommand("a"));
+        link.receive(getCommand("a"));
         time.pass(520_000);
-        assertEquals("-ERR failed\r\n", link.takeOut());
+        assertEquals("-ERR failed\r\n", link.takeWritten());
         assertEquals(List.of(1L), abandoned);
         assertFalse(north.answer(1, new Answer.Failed()));
     }
 
     @Test
     public void openRequestsAreAbandonedOnDisconnect() {
-        link.in(getCommand("a") + getCommand("b"));
+        link.receive(getCommand("a") + getCommand("b"));
         north.answer(2, new Answer.Failed());
         link.events.closed();
         assertEquals(List.of(1L), abandoned);
@@ -131,8 +131,8 @@
     @Test
     public void drainClosesConnectionsOnceTheirRequestsAreAnswered() {
         FakeLink idle = connectClient();
-        idle.in(command("PING"));
-        link.in(getCommand("a"));
+        idle.receive(command("PING"));
+        link.receive(getCommand("a"));
         north.drain();
         assertTrue(idle.closed);
         assertFalse(link.closed);
@@ -146,9 +146,9 @@
         time.pass(200_000);
         north.drain();
         assertFalse(link.closed || north.isDrained());
-        link.in(getCommand("a"));
+        link.receive(getCommand("a"));
         north.answer(1, new Answer.Failed());
-        assertEquals("-ERR failed\r\n", link.takeOut());
+        assertEquals("-ERR failed\r\n", link.takeWritten());
         assertTrue(link.closed);
         assertFalse(silent.closed);
         time.pass(600_000);
@@ -159,8 +159,8 @@
     public void clientIdleLongestIsEvictedAboveTheLimit() {
         FakeLink second = new FakeLink();
         second.events = north.accept(second);
-        second.in(command("PING"));
-        link.in(command("PING"));
+        second.receive(command("PING"));
+        link.receive(command("PING"));
         north.accept(new FakeLink());
         assertTrue(second.closed);
         assertFalse(link.closed);
@@ -168,7 +168,7 @@
 
     private FakeLink connectClient() {
         FakeLink added = new FakeLink();
-        added.leaves = true;
+        added.flushesImmediately = true;
         added.events = north.accept(added);
         return added;
     }
@@ -176,33 +176,33 @@
     @Test
     public void missingOrIncompleteFirstCommandTimesOut() {
         FakeLink incomplete = connectClient();
-        incomplete.in("*4\r\n$7\r\nOBJ");
+        incomplete.receive("*4\r\n$7\r\nOBJ");
         time.pass(1_000_000);
-        incomplete.in(".G");
+        incomplete.receive(".G");
         time.pass(400_000);
         assertFalse(link.closed || incomplete.closed);
         time.pass(400_000);
         assertTrue(link.closed && incomplete.closed);
-        assertEquals("-ERR no whole command in time\r\n", incomplete.takeOut());
+        assertEquals("-ERR no whole command in time\r\n", incomplete.takeWritten());
     }
 
     @Test
     public void incompleteLaterCommandTimesOut() {
-        link.in(command("PING") + "*4\r\n$7\r\n");
-        link.takeOut();
+        link.receive(command("PING") + "*4\r\n$7\r\n");
+        link.takeWritten();
         time.pass(2_000_000);
-        assertEquals("-ERR no whole command in time\r\n", link.takeOut());
+        assertEquals("-ERR no whole command in time\r\n", link.takeWritten());
         assertTrue(link.closed);
     }
 
     @Test
     public void idleTimeoutIsShorterWhenCrowdedAndSparesOpenRequests() {
-        link.in(getCommand("a"));
+        link.receive(getCommand("a"));
         FakeLink idle = connectClient();
-        idle.in(command("PING"));
+        idle.receive(command("PING"));
         time.pass(300_000);
         north.answer(1, new Answer.Failed());
-        link.in(command("OBJ.GET", "0a", "b", "c=read,t=x,d=9000"));
+        link.receive(command("OBJ.GET", "0a", "b", "c=read,t=x,d=9000"));
         time.pass(1_500_000);
         assertFalse(idle.closed);
         time.pass(700_000);
@@ -213,24 +213,24 @@
 
     @Test
     public void protocolErrorStopsReadingAndStalledClientsAreDisconnected() {
-        link.leaves = false;
-        link.in("nonsense\r\n");
+        link.flushesImmediately = false;
+        link.receive("nonsense\r\n");
         assertFalse(link.reading);
         link.closed = false;
         time.pass(1_300_000);
         assertTrue(link.closed);
         FakeLink stalled = connectClient();
-        stalled.leaves = false;
-        stalled.in(command("PING"));
+        stalled.flushesImmediately = false;
+        stalled.receive(command("PING"));
         time.pass(5_300_000);
         assertTrue(stalled.closed);
     }
 
     @Test
     public void newConnectionNearTheLimitEvictsAnIdleOne() {
-        link.in(command("PING"));
+        link.receive(command("PING"));
         FakeLink busy = connectClient();
-        busy.in(getCommand("a"));
+        busy.receive(getCommand("a"));
         assertFalse("it was used a moment ago", link.closed);
         time.pass(200_000);
         FakeLink third = connectClient();
@@ -240,9 +240,9 @@
 
     @Test
     public void clientWithAnOpenRequestIsNotEvictedAsIdle() {
-        link.in(command("PING"));
+        link.receive(command("PING"));
         time.pass(200_000);
-        link.in(getCommand("a"));
+        link.receive(getCommand("a"));
         connectClient();
         assertFalse("it has an open request", link.closed);
         north.answer(1, new Answer.Failed());
@@ -253,7 +253,7 @@
 
     @Test
     public void silentClientIsEvictedBeforeAnIdleOne() {
-        link.in(command("PING"));
+        link.receive(command("PING"));
         FakeLink silent = connectClient();
         time.pass(400_000);
         connectClient();
@@ -265,17 +265,17 @@
     @Test
     public void excessPipelinedCommandsAreRejectedInOrderAndADisconnectIsNoticed() {
         for (int i = 0; i < 5000; i++) {
-            link.in(getCommand("r" + i) + command("PING"));
+            link.receive(getCommand("r" + i) + command("PING"));
         }
         assertTrue(link.reading);
         assertEquals(64, received.size());
         for (long ticket = 64; ticket >= 1; ticket--) {
-            assertEquals("", link.takeOut());
+            assertEquals("", link.takeWritten());
             north.answer(ticket, new Answer.Failed());
         }
-        String out = link.takeOut();
+        String out = link.takeWritten();
         assertEquals("-ERR failed\r\n+PONG\r\n".repeat(64) + "-BUSY 1000\r\n".repeat(10_000 - 128), out);
-        link.in(getCommand("after"));
+        link.receive(getCommand("after"));
         assertEquals("it is served again after its replies were sent", 65, received.size());
         link.events.closed();
         assertEquals(List.of(65L), abandoned);
@@ -283,41 +283,41 @@
 
     @Test
     public void unreadRejectionsTakeBoundedMemory() {
-        link.leaves = false;
+        link.flushesImmediately = false;
         for (int i = 0; i < 400; i++) {
-            link.in(getCommand("r" + i) + command("PING").repeat(1000));
+            link.receive(getCommand("r" + i) + command("PING").repeat(1000));
         }
         north.answer(1, new Answer.Failed());
-        int unreadLength = link.takeOut().length();
+        int unreadLength = link.takeWritten().length();
         assertTrue(unreadLength + " bytes are unsent", unreadLength < 128 * 1024 * 13);
     }
 
     @Test
     public void readingPausesWhileRepliesAreUnsent() {
-        link.leaves = false;
+        link.flushesImmediately = false;
         for (int i = 0; i < 20; i++) {
-            link.in(command("PING"));
+            link.receive(command("PING"));
         }
         assertFalse(link.reading);
-        assertEquals(16 * 7, link.takeOut().length());
-        link.leaves = true;
+        assertEquals(16 * 7, link.takeWritten().length());
+        link.flushesImmediately = true;
         for (int i = 0; i < 16; i++) {
             link.events.written();
         }
         assertTrue(link.reading);
-        assertEquals(4 * 7, link.takeOut().length());
+        assertEquals(4 * 7, link.takeWritten().length());
     }
 
     @Test
     public void connectionsOverTheLimitAreRejectedAndClosed() {
         FakeLink second = new FakeLink();
         second.events = north.accept(second);
-        link.in(getCommand("a"));
-        second.in(getCommand("b"));
+        link.receive(getCommand("a"));
+        second.receive(getCommand("b"));
         FakeLink third = new FakeLink();
         third.events = north.accept(third);
-        third.in(getCommand("c"));
-        assertEquals("-BUSY 1000\r\n", third.takeOut());
+        third.receive(getCommand("c"));
+        assertEquals("-BUSY 1000\r\n", third.takeWritten());
         assertTrue(third.closed);
         assertEquals(2, received.size());
     }
@@ -328,7 +328,7 @@
         north.drain();
         assertFalse(link.closed);
         link.unread = false;
-        link.in(getCommand("a"));
+        link.receive(getCommand("a"));
         north.answer(1, new Answer.Failed());
         assertTrue(link.closed);
     }
@@ -337,20 +337,20 @@
     @Test
     public void deadlineCountsFromTheEarliestPossibleArrival() {
         time.waited = 400_000;
-        link.in(getCommand("a"));
+        link.receive(getCommand("a"));
         long remaining = received.get(0).deadlineMicros() - time.now();
         assertTrue(remaining + " us of 500 ms remain", remaining > 90_000 && remaining <= 100_000);
         time.waited = 900_000;
-        link.in(getCommand("b"));
+        link.receive(getCommand("b"));
         assertTrue(received.get(1).deadlineMicros() < time.now());
         time.waited = 0;
-        link.in(getCommand("c"));
+        link.receive(getCommand("c"));
         assertTrue(received.get(2).deadlineMicros() > time.now() + 490_000);
     }
 
     @Test
     public void requestFieldsAreParsedAndTheDeadlineAllowsForNetworkDelay() {
-        link.in(command("OBJ.SET", "0a", "i", "c=read,t=x,d=500,k=77,h=1200,size=9.5,r=1", "value"));
+        link.receive(command("OBJ.SET", "0a", "i", "c=read,t=x,d=500,k=77,h=1200,size=9.5,r=1", "value"));
         ClientRequest request = received.get(0);
         assertTrue(request.deadlineMicros() < time.now() + 500_000 && request.deadlineMicros() > time.now() + 490_000);
         assertTrue(request.write() && request.retry() && request.workMicros() == 1200 && request.size() == 9.5);
--- a/balancer/src/test/java/baymoor/south/SouthTest.java
+++ b/balancer/src/test/java/baymoor/south/SouthTest.java
@@ -108,14 +108,14 @@
         south.withdraw("r", 0);
         assertEquals("its connection is still opening and may carry another attempt", "", takeEnds());
         link.events.opened();
-        assertEquals("", link.takeOut());
+        assertEquals("", link.takeWritten());
         assertEquals("r NOT_SENT", takeEnds());
         assertFalse(link.closed);
         send("s", ROUTER, null);
-        assertTrue(link.takeOut().contains("$1\r\ns\r\n"));
+        assertTrue(link.takeWritten().contains("$1\r\ns\r\n"));
         south.withdraw("s", 0);
         link.events.written();
-        link.in(ANSWER);
+        link.receive(ANSWER);
         assertEquals("an attempt that has been written goes on", "s SERVED v", takeEnds());
     }
 
@@ -135,7 +135,7 @@
             FakeLink link = links.get(links.size() - 1);
             time.pass(200_000);
             link.events.opened();
-            String written = link.takeOut();
+            String written = link.takeWritten();
             assertTrue("the time spent waiting for the connection is deducted: " + written, written.contains("d=600"));
             assertFalse(written, written.contains("d=1400"));
         }
@@ -146,17 +146,17 @@
     public void idleConnectionWithUnreadBytesOrClosedByTheHostIsNotReused() {
         for (int i = 0; i < 2; i++) {
             FakeLink idle = sendAndWrite("a" + i, ROUTER);
-            idle.in(ANSWER);
+            idle.receive(ANSWER);
             passQuietPeriod();
             takeEnds();
-            idle.takeOut();
+            idle.takeWritten();
             idle.unread = i == 0;
             idle.over = i == 1;
             FakeLink second = sendAndWrite("b" + i, ROUTER);
-            assertEquals("", idle.takeOut());
+            assertEquals("", idle.takeWritten());
             assertTrue(idle.closed);
             idle.events.closed();
-            second.in(ANSWER.replace("v", "w"));
+            second.receive(ANSWER.replace("v", "w"));
             assertEquals("b" + i + " SERVED w", takeEnds());
             second.unread = true; // so that the next iteration opens a new connection
             passQuietPeriod();
@@ -174,11 +174,11 @@
         south.withdraw("c", 0);
         south.withdraw("unknown", 0);
         assertEquals("b NOT_SENT; c NOT_SENT", takeEnds());
-        link.takeOut();
-        link.in(ANSWER);
+        link.takeWritten();
+        link.receive(ANSWER);
         passQuietPeriod();
         assertEquals("a SERVED v", takeEnds());
-        assertEquals("", link.takeOut());
+        assertEquals("", link.takeWritten());
         assertEquals(1, links.size());
     }
 
@@ -209,7 +209,7 @@
         };
         for (String[] c : cases) {
             FakeLink link = sendAndWrite("r", ROUTER);
-            link.in(c[0]);
+            link.receive(c[0]);
             assertEquals(c[0], c[1], takeEnds());
             boolean reusable = !c[1].equals("r ERROR") || c[0].equals("-ERR failed\r\n") || c[0].equals("-SYNTAX\r\n");
             assertEquals(c[0], !reusable, link.closed);
@@ -227,7 +227,12 @@
             {"HTTP/1.1 504 no\r\nX-Unprocessed: 1\r\n" + emptyBody, "r FULL"},
             {"HTTP/1.1 503 no\r\n" + emptyBody, "r ERROR"},
             {
-                "HTTP/1.1 100 go on\r\n\r\nHTTP/1.1 102 yes\r\nA: b\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv",
+                "HTTP/1.1 100 go on\r\n\r\n"
+                        + "HTTP/1.1 102 yes\r\n"
+                        + "A: b\r\n\r\n"
+                        + "HTTP/1.1 200 OK\r\n"
+                        + "Content-Length: 1\r\n\r\n"
+                        + "v",
                 "r SERVED v"
             },
             {"HTTP/1.1 200 OK\r\nX-Backend-Load: {{=,\r\nContent-Length: 1\r\n\r\nv", "r SERVED v"},
@@ -239,7 +244,7 @@
         };
         for (String[] c : cases) {
             FakeLink link = sendAndWrite("r", ORIGIN);
-            link.in(c[0]);
+            link.receive(c[0]);
             assertEquals(c[0], c[1], takeEnds());
             link.events.closed();
         }
@@ -263,7 +268,7 @@
         time.pass(800_000);
         assertTrue(link.closed);
         assertEquals("", takeEnds());
-        link.in(ANSWER);
+        link.receive(ANSWER);
         link.events.closed();
         assertEquals("r TIMED_OUT", takeEnds());
         FakeLink cancelled = sendAndWrite("s", ROUTER);
@@ -287,13 +292,13 @@
     @Test
     public void idleConnectionIsReusedAndClosedBeforeTheHostsIdleTimeout() {
         FakeLink link = sendAndWrite("r", ROUTER);
-        link.in(ANSWER);
+        link.receive(ANSWER);
         assertEquals("r SERVED v", takeEnds());
         passQuietPeriod();
         assertEquals(null, send("s", ROUTER, null));
-        assertTrue(link.takeOut().contains("$1\r\ns\r\n"));
+        assertTrue(link.takeWritten().contains("$1\r\ns\r\n"));
         link.events.written();
-        link.in(ANSWER);
+        link.receive(ANSWER);
         time.pass(28_000_000);
         assertTrue(link.closed);
     }
@@ -301,13 +306,13 @@
     @Test
     public void unsolicitedBytesCloseTheConnectionAndAnswerNoAttempt() {
         FakeLink link = sendAndWrite("r", ROUTER);
-        link.in(ANSWER);
+        link.receive(ANSWER);
         takeEnds();
-        link.in(ANSWER);
+        link.receive(ANSWER);
         assertTrue(link.closed);
         assertEquals(1, counters.get(Count.ANSWERS_UNASKED));
         FakeLink duplicated = sendAndWrite("s", ROUTER);
-        duplicated.in(ANSWER + ANSWER);
+        duplicated.receive(ANSWER + ANSWER);
         assertTrue(duplicated.closed);
         assertEquals("s SERVED v", takeEnds());
     }
@@ -315,7 +320,7 @@
     @Test
     public void originResponseWithoutALengthIsAnErrorWhenItsConnectionCloses() {
         FakeLink link = sendAndWrite("r", ORIGIN);
-        link.in("HTTP/1.1 200 OK\r\n\r\nv");
+        link.receive("HTTP/1.1 200 OK\r\n\r\nv");
         link.events.closed();
         assertEquals("r ERROR", takeEnds());
     }
@@ -323,39 +328,39 @@
     @Test
     public void duplicateAnswerWithinTheQuietPeriodAnswersNoAttempt() {
         FakeLink link = sendAndWrite("a", ROUTER);
-        link.in(ANSWER);
+        link.receive(ANSWER);
         assertEquals("a SERVED v", takeEnds());
         time.pass(10_000);
         FakeLink other = send("b", ROUTER, null);
         assertFalse("the connection is still in its quiet period", other == null);
-        link.in(ANSWER);
+        link.receive(ANSWER);
         assertTrue(link.closed);
         other.events.opened();
         other.events.written();
-        other.in(ANSWER.replace("v", "w"));
+        other.receive(ANSWER.replace("v", "w"));
         assertEquals("b SERVED w", takeEnds());
     }
 
     @Test
     public void unreadDuplicateAnswerAtTheEndOfTheQuietPeriodAnswersNoAttempt() {
         FakeLink link = sendAndWrite("r", ROUTER);
-        link.in(ANSWER);
+        link.receive(ANSWER);
         assertEquals("r SERVED v", takeEnds());
         FakeLink other = send("s", ROUTER, null);
         assertTrue("the first connection is still in its quiet period", other != null);
         link.unread = true;
         passQuietPeriod();
         assertTrue(link.closed);
-        link.in(ANSWER);
+        link.receive(ANSWER);
         assertEquals("", takeEnds());
     }
 
     @Test
     public void answerThatStallsHalfwayFailsBeforeTheDeadline() {
         FakeLink link = sendAndWrite("r", ROUTER);
-        link.in("*3\r\n$9\r\nv");
+        link.receive("*3\r\n$9\r\nv");
         time.pass(62_499);
-        link.in("v");
+        link.receive("v");
         time.pass(62_499);
         assertFalse(link.closed);
         time.pass(1);
@@ -394,11 +399,11 @@
         south = south(1);
         FakeLink link = sendAndWrite("r", ROUTER);
         assertEquals(null, send("s", ROUTER, null));
-        link.takeOut();
-        link.in(ANSWER);
+        link.takeWritten();
+        link.receive(ANSWER);
         assertEquals("r SERVED v", takeEnds());
         passQuietPeriod();
-        assertTrue(link.takeOut().contains("$1\r\ns\r\n"));
+        assertTrue(link.takeWritten().contains("$1\r\ns\r\n"));
         link.events.written();
         send("t", ROUTER, null);
         time.pass(800_000);
@@ -433,7 +438,7 @@
             if (link != null) {
                 link.events.opened();
                 link.events.written();
-                link.in(ANSWER);
+                link.receive(ANSWER);
                 passQuietPeriod();
             }
         }
