--- a/balancer/src/test/java/baymoor/ManualTime.java
+++ b/balancer/src/test/java/baymoor/ManualTime.java
@@ -34,7 +34,7 @@
     }
 
     /** Advances the clock and runs the timers that fall due, in order. */
-    public void pass(long micros) {
+    public void advance(long micros) {
         long endMicros = nowMicros + micros;
         while (true) {
             ScheduledTask next = timers.stream()
--- a/balancer/src/test/java/baymoor/assembly/EveryFieldTest.java
+++ b/balancer/src/test/java/baymoor/assembly/EveryFieldTest.java
@@ -138,7 +138,7 @@
                     RespWriter.utf8(REQUEST_ID),
                     RespWriter.utf8("c=path-lookup,t=nordgods,d=800")));
             for (int i = 0; i < 40; i++) {
-                time.pass(50_000);
+                time.advance(50_000);
             }
         } catch (ConfigException e) {
             String message = e.getMessage();
--- a/balancer/src/test/java/baymoor/dispatch/DispatcherTest.java
+++ b/balancer/src/test/java/baymoor/dispatch/DispatcherTest.java
@@ -100,7 +100,7 @@
     }
 
     private String attemptEnds() {
-        time.pass(0);
+        time.advance(0);
         return delivered.stream()
                 .filter(e -> e instanceof AttemptEnded)
                 .map(e -> (AttemptEnded) e)
@@ -209,7 +209,7 @@
         links.get(1).events.opened();
         assertEquals("[0 NOT_SENT done, 0 NOT_SENT done]", attemptEnds());
         client.events.closed();
-        time.pass(0);
+        time.advance(0);
         assertEquals("", links.get(0).takeWritten() + links.get(1).takeWritten() + client.takeWritten());
         assertEquals(2, counters.get(Count.REQUESTS_GONE));
         assertEquals(0, counters.get(Count.REFUSED));
@@ -241,7 +241,7 @@
             links.get(firstLink).events.opened();
             links.get(firstLink).events.written();
             links.get(firstLink).events.closed();
-            time.pass(Long.parseLong(c[1]) - 1);
+            time.advance(Long.parseLong(c[1]) - 1);
             FakeLink second = links.get(firstLink + 1);
             second.events.opened();
             assertEquals(
@@ -252,7 +252,7 @@
             second.events.closed();
             client.events.closed();
             client.events = north.accept(client);
-            time.pass(0);
+            time.advance(0);
         }
     }
 
@@ -264,7 +264,7 @@
         client.receive(GET);
         assertEquals("-ERR failed\r\n", client.takeWritten());
         dispatcher.accept(new SetTimer(7, 1000));
-        time.pass(200_000);
+        time.advance(200_000);
         assertTrue(
                 "the timer is set again",
                 delivered.stream().filter(e -> e instanceof TimerFired).count() > 2);
@@ -276,7 +276,7 @@
         dispatcher.setListFreshnessCheck(() -> false);
         client.receive(GET);
         assertEquals("-BUSY\r\n", client.takeWritten());
-        time.pass(2_000_000);
+        time.advance(2_000_000);
         assertEquals("the decision module gets no event", List.of(), delivered);
         assertEquals(1, counters.get(Count.REFUSED));
     }
@@ -295,7 +295,7 @@
         };
         client.receive(GET);
         listFresh[0] = false;
-        time.pass(100_000);
+        time.advance(100_000);
         assertEquals("-BUSY\r\n", client.takeWritten());
         assertEquals("[0 NOT_SENT done]", attemptEnds());
         assertTrue(links.isEmpty());
@@ -318,7 +318,7 @@
         links.get(0).events.written();
         listFresh[0] = false;
         links.get(0).events.closed();
-        time.pass(0);
+        time.advance(0);
         String answer = client.takeWritten();
         assertTrue(answer, answer.startsWith("-") && !answer.startsWith("-BUSY"));
         assertEquals("[0 RESET, 1 NOT_SENT done]", attemptEnds());
--- a/balancer/src/test/java/baymoor/inventory/ContinuousWatchTest.java
+++ b/balancer/src/test/java/baymoor/inventory/ContinuousWatchTest.java
@@ -84,9 +84,9 @@
     @Test
     public void endedWatchIsReopenedAtOnceFromTheVersionHeld() {
         FakeLink link = attend(entry("s-a", "in_service"));
-        time.pass(2_000_000);
+        time.advance(2_000_000);
         link.events.closed();
-        time.pass(0);
+        time.advance(0);
         assertEquals(2, links.size());
         assertTrue(lastLink().takeWritten().isEmpty());
         lastLink().events.opened();
@@ -103,7 +103,7 @@
             int callsBefore = links.size();
             long from = time.now();
             while (links.size() == callsBefore) {
-                time.pass(1_000);
+                time.advance(1_000);
             }
             assertTrue("retried within half of the grace", time.now() - from <= GRACE_MICROS / 2);
         }
@@ -117,7 +117,7 @@
         attend(entry("s-a", "in_service"));
         for (int i = 0; i < 1_000; i++) {
             lastLink().events.closed();
-            time.pass(10_000);
+            time.advance(10_000);
             if (!lastLink().closed) {
                 acceptLastCall();
             }
@@ -129,7 +129,7 @@
     public void idleWatchIsKeptUntilAnotherIsEstablished() {
         FakeLink oldWatch = attend(entry("s-a", "in_service"));
         for (int i = 0; i < 20; i++) {
-            time.pass(1_000_000);
+            time.advance(1_000_000);
         }
         assertFalse("an idle agent may be cut off from discovery", oldWatch.closed);
         assertTrue("further calls were made", links.size() > 4);
@@ -147,7 +147,7 @@
         discovery.changeAddress(new InetSocketAddress("127.0.0.1", 2));
         for (int i = 0; i < 100; i++) {
             lastLink().events.closed();
-            time.pass(GRACE_MICROS / 2);
+            time.advance(GRACE_MICROS / 2);
         }
         assertFalse(oldWatch.closed);
         sendLine(oldWatch, list(11, false, entry("s-a", "terminating")));
@@ -223,7 +223,7 @@
         lastLink().events.closed();
         assertEquals("WHOLE", lastEventKind());
         assertEquals(State.GONE, state("s-b"));
-        time.pass(1_000_000);
+        time.advance(1_000_000);
         assertEquals("fetched once", 2, links.size());
     }
 
@@ -233,7 +233,7 @@
         link.receive("fffff\r\n");
         for (int i = 0; i < 40; i++) {
             link.receive("{\"index\"");
-            time.pass(100_000);
+            time.advance(100_000);
         }
         assertEquals("another watch call was made", 2, links.size());
     }
@@ -244,13 +244,13 @@
         sendLine(link, "nonsense");
         for (int i = 0; i < 5; i++) {
             lastLink().events.closed();
-            time.pass(GRACE_MICROS / 2);
+            time.advance(GRACE_MICROS / 2);
         }
         assertEquals(7, links.size());
         lastLink().events.opened();
         lastLink().receive("HTTP/1.1 200 OK\r\n\r\n" + list(11, true, entry("s-a", "terminating")));
         lastLink().events.closed();
-        time.pass(10_000);
+        time.advance(10_000);
         assertEquals(State.DRAINING, state("s-a"));
         assertEquals(7, links.size());
     }
--- a/balancer/src/test/java/baymoor/inventory/DiscoveryPacingTest.java
+++ b/balancer/src/test/java/baymoor/inventory/DiscoveryPacingTest.java
@@ -66,7 +66,7 @@
         long since = time.now();
         discovery.watch(true);
         while (links.size() == callsBefore) {
-            time.pass(1_000);
+            time.advance(1_000);
             assertTrue(time.now() - since < 60 * SECOND);
         }
         return time.now() - since;
@@ -84,7 +84,7 @@
         discovery.watch(true);
         assertEquals("index 50 of 100 waits for its position", 0, links.size());
         discovery.watch(true);
-        time.pass(2 * SECOND);
+        time.advance(2 * SECOND);
         assertEquals(1, links.size());
     }
 
@@ -92,7 +92,7 @@
     public void cancelledWatchRequestStartsNoCall() {
         discovery.watch(true);
         discovery.watch(false);
-        time.pass(10 * SECOND);
+        time.advance(10 * SECOND);
         assertEquals(0, links.size());
     }
 
@@ -117,9 +117,9 @@
     public void callThatMayBeQueuedIsNotHedgedEarly() {
         requestWatchAndAwaitCall();
         lastLink().events.opened();
-        time.pass(3 * SECOND);
+        time.advance(3 * SECOND);
         assertEquals(1, links.size());
-        time.pass(SECOND / 2);
+        time.advance(SECOND / 2);
         assertEquals("presumed dead by now", 2, links.size());
         assertFalse(links.get(0).closed);
     }
@@ -127,9 +127,9 @@
     @Test
     public void callWithoutAConnectionIsHedgedEarlier() {
         requestWatchAndAwaitCall();
-        time.pass(2 * SECOND - 10_000);
+        time.advance(2 * SECOND - 10_000);
         assertEquals(1, links.size());
-        time.pass(20_000);
+        time.advance(20_000);
         assertEquals(2, links.size());
     }
 
@@ -144,13 +144,13 @@
         discovery.watch(true);
         int callsBefore = links.size();
         discovery.peerConfirmedList();
-        time.pass(SECOND);
+        time.advance(SECOND);
         assertEquals("the peers have no newer list", callsBefore, links.size());
         confirmation.recordComplete(time.now());
         discovery.peerConfirmedList();
         long since = time.now();
         while (links.size() == callsBefore) {
-            time.pass(1_000);
+            time.advance(1_000);
         }
         assertTrue(time.now() - since + " us", time.now() - since <= 8 * SECOND);
         lastLink().events.opened();
@@ -158,7 +158,7 @@
         discovery.watch(true);
         callsBefore = links.size();
         discovery.peerConfirmedList();
-        time.pass(SECOND / 100);
+        time.advance(SECOND / 100);
         assertEquals("at most one reschedule per lost watch", callsBefore, links.size());
     }
 
@@ -170,7 +170,7 @@
         assertFalse("headers alone confirm nothing", confirmation.isConfirmed());
         lastLink().receive(wholeListChunk(3));
         assertTrue(confirmation.hasLiveWatch());
-        time.pass(2 * SECOND);
+        time.advance(2 * SECOND);
         lastLink().receive(chunk("\n"));
         assertEquals("a heartbeat confirms the list", time.now(), confirmation.lastCompleteMicros());
     }
@@ -179,11 +179,11 @@
     public void malformedLineSuspendsConfirmationUntilTheWholeListIsFetched() {
         FakeLink watch = establishWatch();
         long completeMicros = confirmation.lastCompleteMicros();
-        time.pass(SECOND);
+        time.advance(SECOND);
         watch.receive(chunk("nonsense\n") + chunk("\n"));
         assertEquals(completeMicros, confirmation.lastCompleteMicros());
         long requestedMicros = time.now();
-        time.pass(SECOND);
+        time.advance(SECOND);
         lastLink().events.opened();
         lastLink()
                 .receive("HTTP/1.1 200 OK\r\n"
@@ -200,19 +200,19 @@
         assertFalse(confirmation.hasLiveWatch());
         assertEquals(1, watchLosses);
         establishWatch();
-        time.pass(2_600_000);
+        time.advance(2_600_000);
         assertFalse(confirmation.hasLiveWatch());
-        time.pass(9_000_000);
+        time.advance(9_000_000);
         assertEquals("reported once", 2, watchLosses);
         assertEquals(ListKind.FAILED, events.get(events.size() - 1).kind());
     }
 
     @Test
     public void failedConnectionExtendsTheUseOfTheList() {
-        time.pass(5 * SECOND);
+        time.advance(5 * SECOND);
         requestWatchAndAwaitCall();
         lastLink().events.closed();
-        time.pass(5 * SECOND);
+        time.advance(5 * SECOND);
         assertTrue(confirmation.isFresh(time.now()));
     }
 
@@ -220,9 +220,9 @@
     public void rejectedCallAloneDoesNotExtendTheUseOfTheList() {
         requestWatchAndAwaitCall();
         lastLink().events.opened();
-        time.pass(3 * SECOND);
+        time.advance(3 * SECOND);
         lastLink().receive(REJECTED);
-        time.pass(4 * SECOND);
+        time.advance(4 * SECOND);
         assertFalse(confirmation.isFresh(time.now()));
     }
 }
--- a/balancer/src/test/java/baymoor/inventory/InventoryTest.java
+++ b/balancer/src/test/java/baymoor/inventory/InventoryTest.java
@@ -148,13 +148,13 @@
         establishWatch().events.closed();
         assertEquals("[FAILED]", takeEventKinds());
         FakeLink idleWatch = establishWatch();
-        time.pass(2_400_000);
+        time.advance(2_400_000);
         idleWatch.receive(chunk("\n"));
-        time.pass(2_400_000);
+        time.advance(2_400_000);
         assertEquals("[]", takeEventKinds());
-        time.pass(200_000);
+        time.advance(200_000);
         idleWatch.events.closed();
-        time.pass(9_000_000);
+        time.advance(9_000_000);
         assertEquals("[FAILED]", takeEventKinds());
         discovery.watch(true);
         links.get(2).events.opened();
@@ -175,9 +175,9 @@
     public void unansweredCallIsHedgedAndTheFirstAnswerCounts() {
         discovery.watch(true);
         links.get(0).events.opened();
-        time.pass(1_990_000);
+        time.advance(1_990_000);
         assertEquals(1, links.size());
-        time.pass(20_000);
+        time.advance(20_000);
         assertEquals(2, links.size());
         assertFalse("the first call stays open", links.get(0).closed);
         links.get(1).events.opened();
@@ -186,7 +186,7 @@
         assertEquals("[WHOLE]", takeEventKinds());
         links.get(0).events.closed();
         assertEquals("[]", takeEventKinds());
-        time.pass(2_400_000);
+        time.advance(2_400_000);
         assertEquals(2, links.size());
     }
 
@@ -194,7 +194,7 @@
     public void unansweredCallsAreLimitedToTwoAtATimeAndOneEveryTwoSeconds() {
         discovery.watch(true);
         for (int second = 0; second < 60; second++) {
-            time.pass(1_000_000);
+            time.advance(1_000_000);
             assertTrue(links.stream().filter(l -> !l.closed).count() <= 2);
         }
         assertTrue(links.size() + " calls", links.size() >= 29 && links.size() <= 31);
@@ -204,21 +204,21 @@
         assertEquals("the other call is still pending", "[]", takeEventKinds());
         links.stream().filter(l -> !l.closed).forEach(l -> l.events.closed());
         assertEquals("[FAILED]", takeEventKinds());
-        time.pass(9_000_000);
+        time.advance(9_000_000);
         assertEquals("no retry without a request by the decision module", "[]", takeEventKinds());
     }
 
     @Test
     public void idleWatchIsKeptUntilAnotherIsEstablished() {
         FakeLink idleWatch = establishWatch();
-        time.pass(2_600_000);
+        time.advance(2_600_000);
         assertEquals("[FAILED]", takeEventKinds());
         assertFalse(idleWatch.closed);
         idleWatch.receive(chunk(list(3, false, entry("s-a", "terminating", 0)) + "\n"));
         assertEquals("[CHANGES]", takeEventKinds());
-        time.pass(2_600_000);
+        time.advance(2_600_000);
         assertEquals("idle again, and reported again", "[FAILED]", takeEventKinds());
-        time.pass(9_000_000);
+        time.advance(9_000_000);
         assertEquals("reported once", "[]", takeEventKinds());
         FakeLink newWatch = establishWatch();
         assertTrue(newWatch.takeWritten().contains("from=3"));
@@ -291,14 +291,14 @@
         discovery.changeAddress(new InetSocketAddress("127.0.0.1", 2));
         links.get(1).events.closed();
         oldWatch.events.closed();
-        time.pass(300_000);
+        time.advance(300_000);
         assertEquals(3, links.size());
         discovery.watch(true);
         assertEquals("the pending call is used", 3, links.size());
         links.get(2).events.opened();
         links.get(2).receive(OK_HEADERS + chunk(list(1, true) + "\n"));
         assertEquals("[WHOLE]", takeEventKinds());
-        time.pass(2_400_000);
+        time.advance(2_400_000);
         assertEquals("[]", takeEventKinds());
     }
 
@@ -309,11 +309,11 @@
         discovery.changeAddress(new InetSocketAddress("127.0.0.1", 2));
         for (int i = 1; i < links.size() && i < 50; i++) {
             links.get(i).events.closed();
-            time.pass(300_000);
+            time.advance(300_000);
         }
         assertEquals(21, links.size());
         assertEquals("[FAILED]", takeEventKinds());
-        time.pass(9_000_000);
+        time.advance(9_000_000);
         assertEquals(21, links.size());
     }
 
--- a/balancer/src/test/java/baymoor/inventory/ListExchangeTest.java
+++ b/balancer/src/test/java/baymoor/inventory/ListExchangeTest.java
@@ -122,7 +122,7 @@
             watch(i, list(1, true, running("a"), running("b")));
         }
         seekAll();
-        time.pass(60 * SECOND);
+        time.advance(60 * SECOND);
         assertEquals(0, sentDatagrams);
     }
 
@@ -130,7 +130,7 @@
     public void singleBalancerSendsNoQueries() {
         startTier(1);
         seekAll();
-        time.pass(60 * SECOND);
+        time.advance(60 * SECOND);
         assertEquals(0, sentDatagrams);
     }
 
@@ -141,11 +141,11 @@
             startTier(balancers);
             watch(0, list(2, false, draining("a")));
             seekAll();
-            time.pass(2 * SECOND);
+            time.advance(2 * SECOND);
             long informed =
                     nodes.stream().filter(n -> n.state(A) != State.RUNNING).count();
             assertTrue(balancers + " balancers: " + informed + " informed", informed >= 0.99 * balancers);
-            time.pass(SECOND);
+            time.advance(SECOND);
             for (Node node : nodes) {
                 assertEquals(State.DRAINING, node.state(A));
                 assertEquals(State.RUNNING, node.state(B));
@@ -162,7 +162,7 @@
         startTier(100);
         watch(0, list(2, false, draining("a")));
         seekAll();
-        time.pass(5 * SECOND);
+        time.advance(5 * SECOND);
         nodes.forEach(node -> assertEquals(State.DRAINING, node.state(A)));
     }
 
@@ -174,7 +174,7 @@
         long watchedMicros = time.now();
         nodes.get(0).confirmation.watchLost();
         seekAll();
-        time.pass(20 * SECOND);
+        time.advance(20 * SECOND);
         for (Node node : nodes) {
             assertTrue(node.confirmation.lastCompleteMicros() <= watchedMicros);
             assertFalse(node.confirmation.isFresh(watchedMicros + 26 * SECOND));
@@ -185,15 +185,15 @@
     public void queriesStopWithTheOwnWatchAndResumeWhenItIsLost() {
         startTier(4);
         seekAll();
-        time.pass(10 * SECOND);
+        time.advance(10 * SECOND);
         long sentBefore = sentDatagrams;
         assertTrue("queries back off: " + sentBefore, sentBefore <= 4 * 2 * 3 * 30);
         for (int i = 0; i < 4; i++) {
             watch(i, list(2, true, running("a")));
         }
-        time.pass(2 * SECOND);
+        time.advance(2 * SECOND);
         sentBefore = sentDatagrams;
-        time.pass(60 * SECOND);
+        time.advance(60 * SECOND);
         assertEquals(sentBefore, sentDatagrams);
         nodes.get(2).confirmation.watchLost();
         nodes.get(2).exchange.startQuerying();
@@ -208,7 +208,7 @@
         querying.inventory.applyWatchObject(list(2, false, draining("a")).toString());
         watch(1, list(3, false, running("a"), draining("b"), running("c")));
         querying.exchange.startQuerying();
-        time.pass(SECOND);
+        time.advance(SECOND);
         assertEquals(State.DRAINING, querying.state(A));
         assertEquals(State.DRAINING, querying.state(B));
         assertEquals("no host is added", null, querying.inventory.entry(Inventory.hash("c")));
@@ -226,7 +226,7 @@
                 list(9, true, running("a"), running("b")).toString());
         watch(1, list(8, true, running("a")));
         querying.exchange.startQuerying();
-        time.pass(SECOND);
+        time.advance(SECOND);
         assertEquals(State.RUNNING, querying.state(B));
         assertFalse(querying.confirmation.isConfirmed());
     }
@@ -237,7 +237,7 @@
         Node querying = nodes.get(0);
         watch(1, list(5, false, draining("a")));
         querying.exchange.startQuerying();
-        time.pass(SECOND);
+        time.advance(SECOND);
         ServerList olderList = querying.inventory.applyWatchObject(
                 list(4, true, running("a"), running("b")).toString());
         assertEquals("an older list keeps the stop", State.DRAINING, querying.state(A));
@@ -262,10 +262,10 @@
         for (int second = 0; second < 30; second++) {
             Node detecting = nodes.get(random.nextInt(100));
             detecting.confirmation.callFailed(CallPacing.Outcome.CONNECTION_FAILED, time.now(), time.now());
-            time.pass(SECOND);
+            time.advance(SECOND);
         }
         nodes.forEach(node -> assertTrue(node.confirmation.isFresh(time.now())));
-        time.pass(7 * SECOND);
+        time.advance(7 * SECOND);
         nodes.forEach(node -> assertFalse(node.confirmation.isFresh(time.now())));
     }
 
@@ -277,7 +277,7 @@
                 list(500, true, running("a"), running("b")).toString());
         watch(1, list(501, true, running("b")));
         querying.exchange.startQuerying();
-        time.pass(SECOND);
+        time.advance(SECOND);
         assertEquals(State.DRAINING, querying.state(A));
         for (int i = 0; i < 3; i++) {
             querying.inventory.applyWatchObject(
@@ -311,7 +311,7 @@
             return cut;
         };
         seekAll();
-        time.pass(30 * SECOND);
+        time.advance(30 * SECOND);
         for (Node node : nodes) {
             assertEquals(State.RUNNING, node.state(A));
             assertEquals(node.number == 0, node.confirmation.isConfirmed());
--- a/balancer/src/test/java/baymoor/north/NorthTest.java
+++ b/balancer/src/test/java/baymoor/north/NorthTest.java
@@ -114,7 +114,7 @@
     @Test
     public void unansweredRequestFailsAfterItsDeadlineAndIsAbandoned() {
         link.receive(getCommand("a"));
-        time.pass(520_000);
+        time.advance(520_000);
         assertEquals("-ERR failed\r\n", link.takeWritten());
         assertEquals(List.of(1L), abandoned);
         assertFalse(north.answer(1, new Answer.Failed()));
@@ -143,7 +143,7 @@
     @Test
     public void drainKeepsNewConnectionsUntilTheirFirstCommandIsOverdue() {
         FakeLink silent = connectClient();
-        time.pass(200_000);
+        time.advance(200_000);
         north.drain();
         assertFalse(link.closed || north.isDrained());
         link.receive(getCommand("a"));
@@ -151,7 +151,7 @@
         assertEquals("-ERR failed\r\n", link.takeWritten());
         assertTrue(link.closed);
         assertFalse(silent.closed);
-        time.pass(600_000);
+        time.advance(600_000);
         assertTrue(silent.closed && north.isDrained());
     }
 
@@ -177,11 +177,11 @@
     public void missingOrIncompleteFirstCommandTimesOut() {
         FakeLink incomplete = connectClient();
         incomplete.receive("*4\r\n$7\r\nOBJ");
-        time.pass(1_000_000);
+        time.advance(1_000_000);
         incomplete.receive(".G");
-        time.pass(400_000);
+        time.advance(400_000);
         assertFalse(link.closed || incomplete.closed);
-        time.pass(400_000);
+        time.advance(400_000);
         assertTrue(link.closed && incomplete.closed);
         assertEquals("-ERR no whole command in time\r\n", incomplete.takeWritten());
     }
@@ -190,7 +190,7 @@
     public void incompleteLaterCommandTimesOut() {
         link.receive(command("PING") + "*4\r\n$7\r\n");
         link.takeWritten();
-        time.pass(2_000_000);
+        time.advance(2_000_000);
         assertEquals("-ERR no whole command in time\r\n", link.takeWritten());
         assertTrue(link.closed);
     }
@@ -200,14 +200,14 @@
         link.receive(getCommand("a"));
         FakeLink idle = connectClient();
         idle.receive(command("PING"));
-        time.pass(300_000);
+        time.advance(300_000);
         north.answer(1, new Answer.Failed());
         link.receive(command("OBJ.GET", "0a", "b", "c=read,t=x,d=9000"));
-        time.pass(1_500_000);
+        time.advance(1_500_000);
         assertFalse(idle.closed);
-        time.pass(700_000);
+        time.advance(700_000);
         assertTrue(idle.closed);
-        time.pass(5_000_000);
+        time.advance(5_000_000);
         assertFalse(link.closed);
     }
 
@@ -217,12 +217,12 @@
         link.receive("nonsense\r\n");
         assertFalse(link.reading);
         link.closed = false;
-        time.pass(1_300_000);
+        time.advance(1_300_000);
         assertTrue(link.closed);
         FakeLink stalled = connectClient();
         stalled.flushesImmediately = false;
         stalled.receive(command("PING"));
-        time.pass(5_300_000);
+        time.advance(5_300_000);
         assertTrue(stalled.closed);
     }
 
@@ -232,7 +232,7 @@
         FakeLink busy = connectClient();
         busy.receive(getCommand("a"));
         assertFalse("it was used a moment ago", link.closed);
-        time.pass(200_000);
+        time.advance(200_000);
         FakeLink third = connectClient();
         assertTrue(link.closed);
         assertFalse(busy.closed || third.closed);
@@ -241,12 +241,12 @@
     @Test
     public void clientWithAnOpenRequestIsNotEvictedAsIdle() {
         link.receive(command("PING"));
-        time.pass(200_000);
+        time.advance(200_000);
         link.receive(getCommand("a"));
         connectClient();
         assertFalse("it has an open request", link.closed);
         north.answer(1, new Answer.Failed());
-        time.pass(200_000);
+        time.advance(200_000);
         connectClient();
         assertTrue("it is idle again", link.closed);
     }
@@ -255,7 +255,7 @@
     public void silentClientIsEvictedBeforeAnIdleOne() {
         link.receive(command("PING"));
         FakeLink silent = connectClient();
-        time.pass(400_000);
+        time.advance(400_000);
         connectClient();
         assertTrue(silent.closed);
         assertFalse(link.closed);
--- a/balancer/src/test/java/baymoor/south/SouthTest.java
+++ b/balancer/src/test/java/baymoor/south/SouthTest.java
@@ -91,11 +91,11 @@
 
     /** Passes the time for which a connection stays unused after an answer. */
     private void passQuietPeriod() {
-        time.pass(20_000);
+        time.advance(20_000);
     }
 
     private String takeEnds() {
-        time.pass(0);
+        time.advance(0);
         String all = String.join("; ", ends);
         ends.clear();
         return all;
@@ -133,7 +133,7 @@
                     deadlineMicros,
                     () -> true);
             FakeLink link = links.get(links.size() - 1);
-            time.pass(200_000);
+            time.advance(200_000);
             link.events.opened();
             String written = link.takeWritten();
             assertTrue("the time spent waiting for the connection is deducted: " + written, written.contains("d=600"));
@@ -265,7 +265,7 @@
     @Test
     public void endIsReportedOnlyOnceTheConnectionIsClosed() {
         FakeLink link = sendAndWrite("r", ROUTER);
-        time.pass(800_000);
+        time.advance(800_000);
         assertTrue(link.closed);
         assertEquals("", takeEnds());
         link.receive(ANSWER);
@@ -281,9 +281,9 @@
     @Test
     public void connectionThatDoesNotOpenTimesOut() {
         FakeLink link = send("r", ROUTER, null);
-        time.pass(249_999);
+        time.advance(249_999);
         assertFalse(link.closed);
-        time.pass(1);
+        time.advance(1);
         assertTrue(link.closed);
         link.events.closed();
         assertEquals("r NOT_CONNECTED", takeEnds());
@@ -299,7 +299,7 @@
         assertTrue(link.takeWritten().contains("$1\r\ns\r\n"));
         link.events.written();
         link.receive(ANSWER);
-        time.pass(28_000_000);
+        time.advance(28_000_000);
         assertTrue(link.closed);
     }
 
@@ -330,7 +330,7 @@
         FakeLink link = sendAndWrite("a", ROUTER);
         link.receive(ANSWER);
         assertEquals("a SERVED v", takeEnds());
-        time.pass(10_000);
+        time.advance(10_000);
         FakeLink other = send("b", ROUTER, null);
         assertFalse("the connection is still in its quiet period", other == null);
         link.receive(ANSWER);
@@ -359,11 +359,11 @@
     public void answerThatStallsHalfwayFailsBeforeTheDeadline() {
         FakeLink link = sendAndWrite("r", ROUTER);
         link.receive("*3\r\n$9\r\nv");
-        time.pass(62_499);
+        time.advance(62_499);
         link.receive("v");
-        time.pass(62_499);
+        time.advance(62_499);
         assertFalse(link.closed);
-        time.pass(1);
+        time.advance(1);
         assertTrue(link.closed);
         link.events.closed();
         assertEquals("r ERROR", takeEnds());
@@ -386,10 +386,10 @@
         inventory.put(3L, new Inventory.Entry(3, new InetSocketAddress("127.0.0.1", 1), "two-core", State.RUNNING));
         FakeLink next = send("s", 3, null);
         assertTrue("a new connection is opened", next != null);
-        time.pass(1_000_000);
+        time.advance(1_000_000);
         assertTrue("its attempt is still in flight", south.inUse(ROUTER));
         link.events.closed();
-        time.pass(1_000_000);
+        time.advance(1_000_000);
         assertFalse(south.inUse(ROUTER));
         assertTrue(south.inUse(3));
     }
@@ -406,7 +406,7 @@
         assertTrue(link.takeWritten().contains("$1\r\ns\r\n"));
         link.events.written();
         send("t", ROUTER, null);
-        time.pass(800_000);
+        time.advance(800_000);
         link.events.closed();
         assertEquals("t NOT_CONNECTED; s TIMED_OUT", takeEnds());
     }
@@ -416,14 +416,14 @@
     public void attemptWhoseLastByteIsWrittenDuringItsTimeoutMayHaveRun() {
         FakeLink link = send("r", ORIGIN, new byte[] {1});
         link.events.opened();
-        time.pass(800_000);
+        time.advance(800_000);
         assertTrue(link.closed);
         link.events.written();
         link.events.closed();
         assertEquals("r TIMED_OUT", takeEnds());
         link = send("s", ORIGIN, new byte[] {1});
         link.events.opened();
-        time.pass(800_000);
+        time.advance(800_000);
         link.events.closed();
         assertEquals("s NOT_CONNECTED", takeEnds());
     }
@@ -446,7 +446,7 @@
         assertTrue(links.size() + " opened in total", links.size() <= 20 + 16);
         assertTrue(open + " open", open <= 20);
         links.stream().filter(l -> l.closed).toList().forEach(l -> l.events.closed());
-        time.pass(0);
+        time.advance(0);
         assertTrue("completed closes make room for new connections", links.size() > 20 + 16);
     }
 }
