--- a/balancer/src/test/java/baymoor/config/ConfigTest.java
+++ b/balancer/src/test/java/baymoor/config/ConfigTest.java
@@ -11,12 +11,11 @@
 public class ConfigTest {
 
     static final String VALID = """
-        {"name":"n0","listen":"127.0.0.1:6379","discovery":"127.0.0.1:8500","seed":"92094eb940cf389a",
-         "limits":{"sockets":1024,"memory_mb":128},"peers":["127.0.0.1:1"],
-         "settings":{"me":0,"siblings":1,"tick":5000,"tenants":[],"extra":{"mode":"aside","origin_kind":1},
-          "skus":["two-core","origin"],"classes":[{"name":"read","hard_limit":1500000,"key_ttl":0,"effect":"retryable"}],
-          "limits":{"max_attempts":5,"connect_timeout":250000}}}\
-        """;
+            {"name":"n0","listen":"127.0.0.1:6379","discovery":"127.0.0.1:8500","seed":"92094eb940cf389a",
+             "limits":{"sockets":1024,"memory_mb":128},"peers":["127.0.0.1:1"],
+             "settings":{"me":0,"siblings":1,"tick":5000,"tenants":[],"extra":{"mode":"aside","origin_kind":1},
+              "skus":["two-core","origin"],"classes":[{"name":"read","hard_limit":1500000,"key_ttl":0,"effect":"retryable"}],
+              "limits":{"max_attempts":5,"connect_timeout":250000}}}""";
 
     @Test
     public void validConfigurationIsParsed() throws ConfigException {
--- a/balancer/src/test/java/baymoor/inventory/DiscoveryPacingTest.java
+++ b/balancer/src/test/java/baymoor/inventory/DiscoveryPacingTest.java
@@ -186,9 +186,8 @@
         time.advance(SECOND);
         lastLink().events.opened();
         lastLink()
-                .receive("HTTP/1.1 200 OK\r\n"
-                        + "Content-Length: 42\r\n\r\n"
-                        + "{\"index\":5,\"snapshot\":true,\"endpoints\":[]}");
+                .receive(
+                        "HTTP/1.1 200 OK\r\nContent-Length: 42\r\n\r\n{\"index\":5,\"snapshot\":true,\"endpoints\":[]}");
         assertEquals("as of the request", requestedMicros, confirmation.lastCompleteMicros());
         watch.receive(chunk("\n"));
         assertEquals(time.now(), confirmation.lastCompleteMicros());
--- a/balancer/src/test/java/baymoor/south/SouthTest.java
+++ b/balancer/src/test/java/baymoor/south/SouthTest.java
@@ -227,12 +227,7 @@
             {"HTTP/1.1 504 no\r\nX-Unprocessed: 1\r\n" + emptyBody, "r FULL"},
             {"HTTP/1.1 503 no\r\n" + emptyBody, "r ERROR"},
             {
-                "HTTP/1.1 100 go on\r\n\r\n"
-                        + "HTTP/1.1 102 yes\r\n"
-                        + "A: b\r\n\r\n"
-                        + "HTTP/1.1 200 OK\r\n"
-                        + "Content-Length: 1\r\n\r\n"
-                        + "v",
+                "HTTP/1.1 100 go on\r\n\r\nHTTP/1.1 102 yes\r\nA: b\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv",
                 "r SERVED v"
             },
             {"HTTP/1.1 200 OK\r\nX-Backend-Load: {{=,\r\nContent-Length: 1\r\n\r\nv", "r SERVED v"},
--- a/emulator/src/test/java/baymoor/emulator/virtual/FaultyBalancerTest.java
+++ b/emulator/src/test/java/baymoor/emulator/virtual/FaultyBalancerTest.java
@@ -22,47 +22,47 @@
 public class FaultyBalancerTest {
 
     private static final String SMALL_SCENARIO = """
-        zones = ["a"]
-        warm_up = "1s"
-        duration = "12s"
-        [balancers]
-        count = 2
-        [[routers]]
-        kind = "two-core"
-        count = 4
-        cores = 2
-        speed = 1.5
-        pause = "0ms"
-        [keys]
-        count = 300
-        [origin]
-        capacity = "30/s"
-        errors = "0%"
-        [traffic]
-        rate = "40/s"
-        impatient = "0%"
-        """;
+            zones = ["a"]
+            warm_up = "1s"
+            duration = "12s"
+            [balancers]
+            count = 2
+            [[routers]]
+            kind = "two-core"
+            count = 4
+            cores = 2
+            speed = 1.5
+            pause = "0ms"
+            [keys]
+            count = 300
+            [origin]
+            capacity = "30/s"
+            errors = "0%"
+            [traffic]
+            rate = "40/s"
+            impatient = "0%"
+            """;
 
     private static final String SCENARIO_WITH_WRITES = SMALL_SCENARIO + """
-        [[classes]]
-        name = "map-read"
-        share = "60%"
-        aim = "800ms"
-        give_up = "1500ms"
-        [[classes]]
-        name = "search-order"
-        share = "20%"
-        effect = "unsafe"
-        aim = "750ms"
-        give_up = "1500ms"
-        [[classes]]
-        name = "parcel-watch"
-        share = "20%"
-        effect = "keyed"
-        window = "1s"
-        aim = "1200ms"
-        give_up = "5s"
-        """;
+            [[classes]]
+            name = "map-read"
+            share = "60%"
+            aim = "800ms"
+            give_up = "1500ms"
+            [[classes]]
+            name = "search-order"
+            share = "20%"
+            effect = "unsafe"
+            aim = "750ms"
+            give_up = "1500ms"
+            [[classes]]
+            name = "parcel-watch"
+            share = "20%"
+            effect = "keyed"
+            window = "1s"
+            aim = "1200ms"
+            give_up = "5s"
+            """;
 
     private static Rule firstBrokenRule(String text, FaultInjector faults) throws Exception {
         Scenario scenario = ScenarioReader.parse(text, "faulty");
@@ -260,13 +260,13 @@
     @Test
     public void ignoredDrainIsDetected() throws Exception {
         String drainScenario = SMALL_SCENARIO + """
-            [discovery]
-            notice = "100ms"
-            [[script]]
-            at = "2s"
-            do = "drain-router"
-            for = "8s"
-            """;
+                [discovery]
+                notice = "100ms"
+                [[script]]
+                at = "2s"
+                do = "drain-router"
+                for = "8s"
+                """;
         assertEquals(
                 Rule.DRAINED,
                 firstBrokenRule(
@@ -275,19 +275,19 @@
 
     private static final String COLD_ROUTER_SCENARIO =
             SMALL_SCENARIO.replace("rate = \"40/s\"", "rate = \"90/s\"") + """
-                [rules]
-                tip_multiple = 1.2
-                tip = "1s"
-                [discovery]
-                add = "100ms"
-                notice = "100ms"
-                spread = "30ms"
-                [[script]]
-                at = "2s"
-                do = "restart-router"
-                count = 2
-                for = "300ms"
-                """;
+            [rules]
+            tip_multiple = 1.2
+            tip = "1s"
+            [discovery]
+            add = "100ms"
+            notice = "100ms"
+            spread = "30ms"
+            [[script]]
+            at = "2s"
+            do = "restart-router"
+            count = 2
+            for = "300ms"
+            """;
 
     @Test
     public void overloadedColdRouterIsDetected() throws Exception {
--- a/emulator/src/test/java/baymoor/emulator/virtual/ShuffledTest.java
+++ b/emulator/src/test/java/baymoor/emulator/virtual/ShuffledTest.java
@@ -24,92 +24,92 @@
     private static final int SEEDS = 60;
 
     private static final String SCENARIO = """
-        zones = ["a", "b"]
-        warm_up = "1s"
-        duration = "7s"
-        [balancers]
-        count = 3
-        start = "300ms"
-        [[routers]]
-        kind = "two-core"
-        count = 6
-        cores = 2
-        speed = 1.5
-        idle_close = "4s"
-        expired = "either"
-        [keys]
-        count = 400
-        [origin]
-        capacity = "30/s"
-        errors = "3%"
-        [rules]
-        drain_grace = "100ms"
-        [discovery]
-        notice = "100ms"
-        add = "100ms"
-        spread = "60ms"
-        [traffic]
-        rate = "110/s"
-        impatient = "25%"
-        backoff = ["0ms", "20ms"]
-        [[classes]]
-        name = "map-read"
-        share = "70%"
-        aim = "400ms"
-        give_up = "700ms"
-        [[classes]]
-        name = "search-order"
-        share = "15%"
-        effect = "unsafe"
-        aim = "300ms"
-        give_up = "500ms"
-        [[classes]]
-        name = "parcel-watch"
-        share = "15%"
-        effect = "keyed"
-        window = "250ms"
-        aim = "400ms"
-        give_up = "900ms"
-        [[script]]
-        at = "500ms"
-        do = "hang-router"
-        count = 2
-        for = "1s"
-        [[script]]
-        at = "1s"
-        do = "restart-balancers"
-        share = "100%"
-        within = "2s"
-        at_once = "34%"
-        [[script]]
-        at = "1500ms"
-        do = "drain-router"
-        for = "2s"
-        [[script]]
-        at = "2s"
-        do = "bad-router"
-        spoil = "reset"
-        share = "40%"
-        for = "2s"
-        [[script]]
-        at = "3s"
-        do = "discovery-down"
-        for = "700ms"
-        [[script]]
-        at = "3900ms"
-        do = "drain-router"
-        count = 2
-        for = "2s"
-        [[script]]
-        at = "5s"
-        do = "kill-balancer"
-        for = "300ms"
-        [[script]]
-        at = "5500ms"
-        do = "restart-router"
-        count = 2
-        for = "200ms"
-        """;
+            zones = ["a", "b"]
+            warm_up = "1s"
+            duration = "7s"
+            [balancers]
+            count = 3
+            start = "300ms"
+            [[routers]]
+            kind = "two-core"
+            count = 6
+            cores = 2
+            speed = 1.5
+            idle_close = "4s"
+            expired = "either"
+            [keys]
+            count = 400
+            [origin]
+            capacity = "30/s"
+            errors = "3%"
+            [rules]
+            drain_grace = "100ms"
+            [discovery]
+            notice = "100ms"
+            add = "100ms"
+            spread = "60ms"
+            [traffic]
+            rate = "110/s"
+            impatient = "25%"
+            backoff = ["0ms", "20ms"]
+            [[classes]]
+            name = "map-read"
+            share = "70%"
+            aim = "400ms"
+            give_up = "700ms"
+            [[classes]]
+            name = "search-order"
+            share = "15%"
+            effect = "unsafe"
+            aim = "300ms"
+            give_up = "500ms"
+            [[classes]]
+            name = "parcel-watch"
+            share = "15%"
+            effect = "keyed"
+            window = "250ms"
+            aim = "400ms"
+            give_up = "900ms"
+            [[script]]
+            at = "500ms"
+            do = "hang-router"
+            count = 2
+            for = "1s"
+            [[script]]
+            at = "1s"
+            do = "restart-balancers"
+            share = "100%"
+            within = "2s"
+            at_once = "34%"
+            [[script]]
+            at = "1500ms"
+            do = "drain-router"
+            for = "2s"
+            [[script]]
+            at = "2s"
+            do = "bad-router"
+            spoil = "reset"
+            share = "40%"
+            for = "2s"
+            [[script]]
+            at = "3s"
+            do = "discovery-down"
+            for = "700ms"
+            [[script]]
+            at = "3900ms"
+            do = "drain-router"
+            count = 2
+            for = "2s"
+            [[script]]
+            at = "5s"
+            do = "kill-balancer"
+            for = "300ms"
+            [[script]]
+            at = "5500ms"
+            do = "restart-router"
+            count = 2
+            for = "200ms"
+            """;
 
     /** Delays about a third of the connections of balancers by 150 to 230 ms; they may be closed before. */
     private static final class DelayedDialer implements FaultInjector {
--- a/emulator/src/test/java/baymoor/emulator/world/ClientsOnSocketsTest.java
+++ b/emulator/src/test/java/baymoor/emulator/world/ClientsOnSocketsTest.java
@@ -126,24 +126,24 @@
 
     private void start(String effect) {
         Scenario scenario = ScenarioReader.own("""
-            zones = ["a"]
-            warm_up = "0s"
-            duration = "60s"
-            [balancers]
-            count = 1
-            [traffic]
-            rate = "5/s"
-            wave = "0%%"
-            retry = "0%%"
-            impatient = "0%%"
-            least_try = "100%%"
-            [[classes]]
-            name = "read"
-            share = "100%%"
-            aim = "800ms"
-            give_up = "1500ms"
-            effect = "%s"
-            """.formatted(effect), "clients");
+                zones = ["a"]
+                warm_up = "0s"
+                duration = "60s"
+                [balancers]
+                count = 1
+                [traffic]
+                rate = "5/s"
+                wave = "0%%"
+                retry = "0%%"
+                impatient = "0%%"
+                least_try = "100%%"
+                [[classes]]
+                name = "read"
+                share = "100%%"
+                aim = "800ms"
+                give_up = "1500ms"
+                effect = "%s"
+                """.formatted(effect), "clients");
         Judge judge = new Judge(time::now, scenario.figures(), SLACK_MICROS, violations::add);
         clients = new Clients(
                 scenario, new SocketLikePlatform(), new Streams(1), new WorkloadModel(scenario, 1), judge, new Tally());
--- a/emulator/src/test/java/baymoor/emulator/world/HostsTest.java
+++ b/emulator/src/test/java/baymoor/emulator/world/HostsTest.java
@@ -49,28 +49,28 @@
 
     private Scenario setUpHosts(String extraSettings) throws BadScenario {
         Scenario scenario = ScenarioReader.parse("""
-            [origin]
-            capacity = "10/s"
-            slots = 1
-            room = 1
-            sigma = 0
-            errors = "0%"
-            fall_multiple = 2
-            fall = "1s"
-            [[routers]]
-            kind = "two-core"
-            cores = 1
-            speed = 1
-            speed_spread = "0%"
-            slots = 1
-            room = 1
-            errors = "0%"
-            pause = "0ms"
-            miss = "1ms"
-            handshake = "0ms"
-            cold_share = "10%"
-            cold = "10s"
-            """ + extraSettings, "hosts");
+                [origin]
+                capacity = "10/s"
+                slots = 1
+                room = 1
+                sigma = 0
+                errors = "0%"
+                fall_multiple = 2
+                fall = "1s"
+                [[routers]]
+                kind = "two-core"
+                cores = 1
+                speed = 1
+                speed_spread = "0%"
+                slots = 1
+                room = 1
+                errors = "0%"
+                pause = "0ms"
+                miss = "1ms"
+                handshake = "0ms"
+                cold_share = "10%"
+                cold = "10s"
+                """ + extraSettings, "hosts");
         judge = new Judge(time::now, scenario.figures(), 0, b -> {});
         catalogue = new WorkloadModel(scenario, 1);
         fills = new CacheFiller(time, 100, scenario.origin().fallMicros(), key -> router.invalidate(key));
